--- /dev/null
+++ b/crates/marker/tests/encoding.rs
@@ -0,0 +1,208 @@
+//! The encoding of messages, operations and states, byte for byte as processes and state files of earlier builds have it.
+//!
+//! `data/encodings.txt` holds a line per value: its name and its CBOR in hexadecimal, written by landing 14.
+
+use limeway_ballot::{Ballot, Open, Seat, Word};
+use limeway_marker::messages::{Call, Ping, Pong, Reply, Standing};
+use limeway_numbering::document::Order;
+use limeway_numbering::{Op, State};
+use limeway_roster::{Claim, Held, Presence};
+use limeway_tandem::parcel::{Have, Label, Part, Want};
+use limeway_tandem::{pack, unpack, Feed, Poll, Steps};
+use limeway_toll::{Answer, Ask, Block, Grant, Phase as Windows, Request};
+use limeway_watch::{Phase, Report};
+use rstest::rstest;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_bytes::ByteBuf;
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+const ENCODINGS: &str = include_str!("data/encodings.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn recorded(name: &str) -> Vec<u8> {
+    let line = ENCODINGS.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let text = line.expect("a recorded encoding");
+    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal");
+    (0..text.len()).step_by(2).map(byte).collect()
+}
+
+/// The value is written as it was recorded, and what was recorded is read as the same value.
+fn check<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+    let expected = recorded(name);
+    assert_eq!(hex(&pack(value)), hex(&expected), "{name} is written differently");
+    let read: T = unpack(&expected).expect("readable");
+    assert_eq!(hex(&pack(&read)), hex(&expected), "{name} is read differently");
+}
+
+fn address(last: u8, port: u16) -> SocketAddrV4 {
+    SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last), port)
+}
+
+fn ballot(round: u64) -> Ballot {
+    Ballot { round, node: 3, boot: 77 }
+}
+
+fn standing() -> Standing {
+    Standing {
+        node: 1,
+        life: 9,
+        boot: 5,
+        counted: true,
+        sound: true,
+        touch: false,
+        leaving: false,
+        slot: 12,
+        kept: 11,
+    }
+}
+
+fn presence() -> Presence {
+    Presence { node: 20, front: address(20, 8080), zone: "north-a".into(), ready: true, age: 1_234 }
+}
+
+fn report(phase: Phase) -> Report {
+    Report {
+        id: "s-1".into(),
+        service: "fonoteca".into(),
+        address: address(30, 9000),
+        zone: "north-a".into(),
+        slots: 16,
+        phase,
+        cold_left: 500_000,
+        count: 41,
+        age: 250_000,
+        silent: false,
+    }
+}
+
+fn want() -> Want {
+    let label = Label { whole: true, slot: 64, digest: 0x0123_4567_89ab_cdef };
+    Want { slot: 12, have: Some(Have { label, at: 2_048 }), room: 32_768 }
+}
+
+fn part() -> Part {
+    let label = Label { whole: false, slot: 13, digest: 7 };
+    Part { label, size: 4, at: 1, bytes: ByteBuf::from(vec![1, 2, 3]) }
+}
+
+fn request() -> Request {
+    let ask = Ask { tenant: "t-1".into(), base: 4, want: 6, extra: 1, held: 3 };
+    let block = Block { tenant: "t-1".into(), units: 3, spent: 2, left: 4_000_000 };
+    Request { group: 2, asks: vec![ask], holds: Some(vec![block]), term: 99, life: 5, number: 8 }
+}
+
+fn answer() -> Answer {
+    let phase = Windows { term: 99, window: 31, left: 600_000 };
+    let grant = Grant { tenant: "t-1".into(), units: 6, extra: 1, budget: 40 };
+    Answer { group: 2, term: 99, phase, unknown: true, grants: vec![grant] }
+}
+
+fn order(version: u32, base: u32) -> Order {
+    let text = format!(
+        r#"{{"config-version":"{version:08x}","base-version":"{base:08x}","resource-list":[{{"resource-kind":"services","metadata":{{"name":"s"}},"specification":{{}}}},{{"resource-kind":"tenants","metadata":{{"name":"t{version}"}},"specification":{{"api-keys":["k{version}"]}}}}]}}"#
+    );
+    Order::read(text.as_bytes(), true).expect("a valid order")
+}
+
+fn operations() -> Vec<(&'static str, Op)> {
+    let seats = vec![Seat { node: 1, life: 0 }, Seat { node: 2, life: 0 }, Seat { node: 3, life: 71 }];
+    vec![
+        ("op-core", Op::Core { seats, former: vec![4] }),
+        ("op-config", Op::from(order(1, 0))),
+        ("op-config-next", Op::from(order(2, 1))),
+        ("op-doors", Op::Doors { add: vec![20, 21], drop: vec![22] }),
+        ("op-evacuate", Op::Evacuate { zone: "north-a".into(), begun: true, mark: 17, again: 0 }),
+        ("op-evacuate-again", Op::Evacuate { zone: "north-a".into(), begun: true, mark: 19, again: 17 }),
+        ("op-evacuate-other", Op::Evacuate { zone: "south-b".into(), begun: true, mark: 23, again: 0 }),
+        ("op-answered", Op::Answered(19)),
+    ]
+}
+
+#[rstest]
+fn calls_keep_their_encoding() {
+    let ping = Ping {
+        me: standing(),
+        beats: vec![report(Phase::Ready)],
+        members: vec![presence()],
+        held: vec![Held { group: 3, left: 7_000_000 }],
+        claims: vec![Claim { group: 4, boot: 5, holds: true }],
+        all: true,
+    };
+    let poll = Poll {
+        me: presence(),
+        below: vec![presence()],
+        want: want(),
+        epoch: 5,
+        servers: 6,
+        members: 7,
+        wait: 2_000_000,
+    };
+    check("call-prepare", &Call::Prepare(13, ballot(4)));
+    check("call-accept", &Call::Accept(13, ballot(4), ByteBuf::from(vec![9, 8])));
+    check("call-chosen", &Call::Chosen(13, ByteBuf::from(vec![9, 8])));
+    check("call-fetch", &Call::Fetch(want()));
+    check("call-ping", &Call::Ping(Box::new(ping)));
+    check("call-push", &Call::Push(vec![report(Phase::Draining), report(Phase::Gone)]));
+    check("call-poll", &Call::Poll(Box::new(poll)));
+    check("call-unit", &Call::Unit("t-1".into()));
+    check("call-ask", &Call::Ask(20, vec![request()]));
+}
+
+#[rstest]
+fn replies_keep_their_encoding() {
+    let accepted = Some((ballot(2), ByteBuf::from(vec![9, 8])));
+    let pong = Pong {
+        me: standing(),
+        pending: true,
+        held: vec![Held { group: 3, left: 7_000_000 }],
+        given: vec![4, 5],
+        servers: vec![report(Phase::Ready)],
+    };
+    let feed = |steps: Steps, members| Feed {
+        held: 10,
+        age: Some(20),
+        slot: 12,
+        steps,
+        epoch: 5,
+        change: 6,
+        servers: vec![report(Phase::Ready)],
+        full: true,
+        holders: vec![(1, 5), (0, 0)],
+        members_change: 7,
+        members,
+    };
+    check("reply-promise", &Reply::Word(Word::Promise { life: 9, accepted }));
+    check("reply-accepted", &Reply::Word(Word::Accepted { life: 9 }));
+    check("reply-higher", &Reply::Word(Word::Higher(ballot(6))));
+    check("reply-decided", &Reply::Word(Word::Decided(13)));
+    check("reply-behind", &Reply::Word(Word::Behind(11)));
+    check("reply-abstains", &Reply::Word(Word::Abstains));
+    check("reply-steps-ops", &Reply::Steps(Steps::Ops(vec![ByteBuf::from(vec![0, 1])])));
+    check("reply-steps-part", &Reply::Steps(Steps::Part(part())));
+    check("reply-pong", &Reply::Pong(pong));
+    check(
+        "reply-feed",
+        &Reply::Feed(Box::new(feed(Steps::Elsewhere(64), Some(vec![(20, "north-a".into())])))),
+    );
+    check("reply-feed-ops", &Reply::Feed(Box::new(feed(Steps::Ops(Vec::new()), None))));
+    check("reply-grants", &Reply::Grants(vec![answer()]));
+    check("reply-done", &Reply::Done);
+    check("reply-not", &Reply::Not);
+}
+
+#[rstest]
+fn operations_and_states_keep_their_encoding() {
+    let mut state = State::default();
+    for (name, operation) in operations() {
+        check(name, &operation);
+        state.apply(&operation);
+        check(&format!("state-after-{name}"), &state);
+    }
+    let open = Open { promised: ballot(4), accepted: Some((ballot(3), ByteBuf::from(vec![1, 2, 3]))) };
+    check("open", &open);
+    check("seat", &Seat { node: 3, life: 71 });
+}
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -4,6 +4,9 @@
 use limeway_rig::{off, play, Off, Schedule};
 use std::process::ExitCode;
 
+/// Schedules that `digest` plays where nothing is said.
+const DIGEST_SEEDS: u64 = 200;
+
 /// The command line.
 mod flags {
     #![allow(missing_docs, reason = "what the macro writes has none")]
@@ -25,6 +28,13 @@
                 /// A guard to take away, by its name.
                 optional --off off: String
             }
+            /// Plays schedules and prints one number over all that came of them: equal for builds that behave alike.
+            cmd digest {
+                /// How many (200).
+                optional --seeds seeds: u64
+                /// Three machines with slow disks that are killed again and again.
+                optional --harsh
+            }
             /// Plays one schedule again, and shows it.
             cmd replay {
                 /// Its seed.
@@ -102,6 +112,12 @@
                 None => ExitCode::SUCCESS,
             }
         }
+        RigCmd::Digest(flags) => {
+            let seeds = flags.seeds.unwrap_or(DIGEST_SEEDS);
+            let digest = play::digest(0..seeds, draw(flags.harsh));
+            println!("{seeds} seeds, digest {digest:016x}");
+            ExitCode::SUCCESS
+        }
         RigCmd::Replay(flags) => match guard(flags.off) {
             Some(off) => show(draw(flags.harsh)(flags.seed), off, flags.whole),
             None => ExitCode::FAILURE,
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -60,6 +60,22 @@
     all
 }
 
+/// One number over what came of the schedules that are drawn from these seeds: events, answers, and the last agreed state of each
+/// machine. Two builds that behave alike give the same number.
+pub fn digest(seeds: std::ops::Range<u64>, draw: fn(u64) -> Schedule) -> u64 {
+    seeds.fold(0, |digest, seed| {
+        let (broken, world) = once(draw(seed), Off::Nothing);
+        let mut bytes = digest.to_le_bytes().to_vec();
+        bytes.extend(world.steps.to_le_bytes());
+        bytes.extend(world.judge.tally.iter().flat_map(|n| n.to_le_bytes()));
+        bytes.push(u8::from(broken.is_some()));
+        for machine in &world.machines {
+            bytes.extend(limeway_tandem::pack(&machine.disk.state));
+        }
+        limeway_roster::hash(&bytes)
+    })
+}
+
 /// What is broken, without its figures.
 fn kind(broken: &str) -> String {
     broken.chars().filter(|c| c.is_alphabetic()).take(60).collect()
--- /dev/null
+++ b/crates/vault/tests/kept.rs
@@ -0,0 +1,60 @@
+//! A state file as landing 14 wrote it, `data/state.redb`, is read with all that it holds.
+
+use limeway_ballot::{Ballot, Open};
+use limeway_vault::{Folder, Found, Vault, Votes};
+use rstest::rstest;
+use serde_bytes::ByteBuf;
+use std::path::PathBuf;
+
+const FILE: &[u8] = include_bytes!("data/state.redb");
+const NODE: u32 = 7;
+const DISK: u64 = 42;
+
+/// A folder of this test's own, removed at its end.
+struct Own(PathBuf);
+
+impl Own {
+    fn with(name: &str, content: &[u8]) -> Self {
+        let path = std::env::temp_dir().join(format!("limeway-kept-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::write(path.join("state.redb"), content).expect("a file");
+        Own(path)
+    }
+}
+
+impl Drop for Own {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+fn expected() -> Found {
+    let accepted = Some((Ballot { round: 3, node: 1, boot: 5 }, ByteBuf::from(vec![1, 2, 3])));
+    let promised = Ballot { round: 4, node: 2, boot: 6 };
+    let votes = Votes { life: DISK, applied: 6, open: Open { promised, accepted } };
+    let state = (0..100_000_u32).map(|at| at as u8).collect();
+    Found { votes, snapshot: Some((4, state)), ops: vec![(5, vec![50; 70_000]), (6, vec![60])], empty: false }
+}
+
+#[rstest]
+fn a_file_of_landing_14_is_read() {
+    let folder = Own::with("whole", FILE);
+    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE, 99).expect("opened");
+    assert_eq!(found, expected());
+}
+
+/// The machine then counts as one that lost its disk: a new life.
+#[rstest]
+fn a_torn_file_of_landing_14_is_set_aside() {
+    let folder = Own::with("torn", &FILE[..FILE.len() / 2]);
+    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE, 99).expect("opened");
+    assert!(found.empty && found.votes.life == 99);
+    assert!(folder.0.join("state.redb.aside").exists());
+}
+
+#[rstest]
+fn another_machines_file_is_set_aside() {
+    let folder = Own::with("foreign", FILE);
+    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE + 1, 99).expect("opened");
+    assert!(found.empty && found.votes.life == 99);
+}
