--- a/crates/ballot/tests/exhaustive.rs
+++ b/crates/control/consensus/tests/exhaustive.rs
@@ -4,7 +4,7 @@
 //! Each question and each word may arrive at any time, or never; a question that its holder has gone past is dropped. A disk is lost only while no other seat's disk is:
 //! within the fault model a lost one counts until its place is agreed and all who sit have applied that.
 
-use limeway_ballot::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
+use limeway_consensus::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::collections::hash_map::DefaultHasher;
--- a/crates/ballot/tests/schedules.rs
+++ b/crates/control/consensus/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Ballots under seeded schedules: messages lost, doubled, late and out of order, machines that lose their disks, processes
 //! that end before their own disk knew of a ballot, and sets of seats that change. Whatever happens, one slot has one value.
 
-use limeway_ballot::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
+use limeway_consensus::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -3,7 +3,7 @@
 use crate::clock::{self, now};
 use crate::disk::Disk;
 use crate::link::{self, Links};
-use limeway_ballot::{Acceptor, Node};
+use limeway_consensus::{Acceptor, Node};
 use limeway_jackfield::Settings;
 use limeway_marker::messages::{Call, Reply};
 use limeway_marker::{Action, Ask, Event, Job, Marker, Start, Token, Told};
--- a/crates/exchange/src/disk.rs
+++ b/crates/exchange/src/disk.rs
@@ -12,7 +12,7 @@
 //! `false` says that the record may or may not be on disk, and that nothing may be said that rests on it.
 
 use error_stack::Report;
-use limeway_ballot::{Life, Node};
+use limeway_consensus::{Life, Node};
 use limeway_vault::{Folder, Found, Record, Vault, VaultError};
 use std::cell::Cell;
 use std::future::Future;
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -8,7 +8,7 @@
 use crate::switch;
 use crate::{control, link};
 use error_stack::{Report, ResultExt};
-use limeway_ballot::{Acceptor, Node};
+use limeway_consensus::{Acceptor, Node};
 use limeway_jackfield::{Settings, VARIABLE};
 use limeway_line::http;
 use limeway_line::inbound::{Bounds, Inbound};
--- a/crates/marker/src/ballots.rs
+++ b/crates/marker/src/ballots.rs
@@ -3,7 +3,7 @@
 use crate::messages::{Call, Reply};
 use crate::paper::After;
 use crate::{Action, Asked, Marker, Micros, Token};
-use limeway_ballot::{Ballot, Next, Node, Round, Slot, Word};
+use limeway_consensus::{Ballot, Next, Node, Round, Slot, Word};
 use limeway_tandem::parcel::Want;
 use serde_bytes::ByteBuf;
 
--- a/crates/marker/src/contact.rs
+++ b/crates/marker/src/contact.rs
@@ -6,7 +6,7 @@
 
 use crate::messages::{Call, Ping, Pong, Reply};
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
-use limeway_ballot::{Node, Seat, Slot};
+use limeway_consensus::{Node, Seat, Slot};
 use limeway_numbering::Op;
 use limeway_roster::{Claim, Presence};
 use limeway_watch::Report;
--- a/crates/marker/src/duties.rs
+++ b/crates/marker/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Reply;
 use crate::{Marker, Micros};
-use limeway_ballot::Node;
+use limeway_consensus::Node;
 use limeway_roster::{Claim, GROUPS};
 use limeway_toll::count::Count;
 use limeway_toll::Request;
--- a/crates/marker/src/lib.rs
+++ b/crates/marker/src/lib.rs
@@ -23,7 +23,7 @@
 mod seats;
 mod servers;
 
-use limeway_ballot::{Acceptor, Life, Node, Seat, Slot};
+use limeway_consensus::{Acceptor, Life, Node, Seat, Slot};
 use limeway_numbering::{BadConfig, Order, Plan, State};
 use limeway_roster::{Duties, Presence, Roster, Votes, GROUPS};
 use limeway_tandem::parcel::Want;
--- a/crates/marker/src/messages.rs
+++ b/crates/marker/src/messages.rs
@@ -1,6 +1,6 @@
 //! What processes of the system say to each other.
 
-use limeway_ballot::{Ballot, Life, Node, Slot, Word};
+use limeway_consensus::{Ballot, Life, Node, Slot, Word};
 use limeway_roster::{Claim, Held, Presence};
 use limeway_tandem::parcel::Want;
 use limeway_tandem::{Feed, Poll, Steps};
--- a/crates/marker/src/orders.rs
+++ b/crates/marker/src/orders.rs
@@ -5,7 +5,7 @@
 //! never will be by this sending, judged by a state that a majority confirmed after the order came; *unclear* nothing.
 
 use crate::{Action, Ask, Marker, Micros, Token, Told};
-use limeway_ballot::Slot;
+use limeway_consensus::Slot;
 use limeway_numbering::evacuation::{Calls, Next as Call};
 use limeway_numbering::{Op, Order, Plan, Refusal, State};
 use serde_bytes::ByteBuf;
--- a/crates/marker/src/paper.rs
+++ b/crates/marker/src/paper.rs
@@ -6,7 +6,7 @@
 
 use crate::messages::Reply;
 use crate::{Action, Job, Marker, Micros, Record, Token};
-use limeway_ballot::{Slot, Word};
+use limeway_consensus::{Slot, Word};
 use serde_bytes::ByteBuf;
 use std::collections::VecDeque;
 
--- a/crates/marker/src/seats.rs
+++ b/crates/marker/src/seats.rs
@@ -11,7 +11,7 @@
 //! does. A machine that leaves goes on until its seat has passed on, or there is nobody to take it.
 
 use crate::{Action, Marker, Micros, Shown, CORE_MOST, SHOWS, TOUCH};
-use limeway_ballot::{Node, Seat};
+use limeway_consensus::{Node, Seat};
 use limeway_numbering::Op;
 use std::collections::BTreeSet;
 
--- a/crates/marker/src/servers.rs
+++ b/crates/marker/src/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Call;
 use crate::{Action, Asked, Marker, Micros, Token, Told};
-use limeway_ballot::Node;
+use limeway_consensus::Node;
 use limeway_watch::{Heard, Phase, Report};
 
 /// Others hear of a step within it.
--- a/crates/marker/tests/encoding.rs
+++ b/crates/marker/tests/encoding.rs
@@ -2,7 +2,7 @@
 //!
 //! `data/encodings.txt` holds a line per value: its name and its CBOR in hexadecimal, written by landing 14.
 
-use limeway_ballot::{Ballot, Open, Seat, Word};
+use limeway_consensus::{Ballot, Open, Seat, Word};
 use limeway_marker::messages::{Call, Ping, Pong, Reply, Standing};
 use limeway_numbering::document::Order;
 use limeway_numbering::{Op, State};
--- a/crates/numbering/src/state.rs
+++ b/crates/numbering/src/state.rs
@@ -4,7 +4,7 @@
 use crate::items::{Changes, Entry, Items, Step};
 use crate::plan::Plan;
 use crate::Version;
-use limeway_ballot::Seat;
+use limeway_consensus::Seat;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/rig/src/disk.rs
+++ b/crates/rig/src/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::chance::Chance;
 use crate::Micros;
-use limeway_ballot::Acceptor;
+use limeway_consensus::Acceptor;
 use limeway_marker::{Job, Record};
 use limeway_numbering::State;
 use std::collections::VecDeque;
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -6,7 +6,7 @@
 use crate::net::{Fate, Net};
 use crate::people::{People, Who};
 use crate::{Micros, Off, Schedule, SECOND};
-use limeway_ballot::Node;
+use limeway_consensus::Node;
 use limeway_marker::messages::{Call, Reply};
 use limeway_marker::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
 use limeway_toll::Rule;
--- a/crates/vault/src/file.rs
+++ b/crates/vault/src/file.rs
@@ -5,7 +5,7 @@
 use crate::medium::{Medium, Name, Seen, Watched};
 use crate::{Found, Record, VaultError};
 use error_stack::{Report, ResultExt};
-use limeway_ballot::{Life, Node};
+use limeway_consensus::{Life, Node};
 use redb::{Database, StorageBackend, WriteTransaction};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
--- a/crates/vault/src/format.rs
+++ b/crates/vault/src/format.rs
@@ -2,7 +2,7 @@
 
 use crate::{Found, Record, VaultError, Votes};
 use error_stack::{Report, ResultExt};
-use limeway_ballot::{Life, Node, Open, Slot};
+use limeway_consensus::{Life, Node, Open, Slot};
 use redb::{ReadTransaction, ReadableTable, TableDefinition, WriteTransaction};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/crates/vault/src/lib.rs
+++ b/crates/vault/src/lib.rs
@@ -54,7 +54,7 @@
 /// What a [`Medium`] gives for a file.
 pub use redb::StorageBackend;
 
-use limeway_ballot::{Life, Open, Slot};
+use limeway_consensus::{Life, Open, Slot};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/crates/vault/src/log.rs
+++ b/crates/vault/src/log.rs
@@ -1,7 +1,7 @@
 //! What the log on disk holds, and which records may follow it. Free of I/O.
 
 use crate::{Record, VaultError};
-use limeway_ballot::Slot;
+use limeway_consensus::Slot;
 use std::collections::VecDeque;
 
 /// Operations since the last snapshot after which one is due.
--- a/crates/vault/tests/disk.rs
+++ b/crates/vault/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What is on disk comes back; what is torn or foreign is set aside and never taken for an empty disk's fresh start.
 
-use limeway_ballot::{Acceptor, Ballot};
+use limeway_consensus::{Acceptor, Ballot};
 use limeway_vault::{Folder as Disk, Found, Record, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
--- a/crates/vault/tests/kept.rs
+++ b/crates/vault/tests/kept.rs
@@ -1,6 +1,6 @@
 //! A state file as landing 14 wrote it, `data/state.redb`, is read with all that it holds.
 
-use limeway_ballot::{Ballot, Open};
+use limeway_consensus::{Ballot, Open};
 use limeway_vault::{Folder, Found, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
--- a/crates/vault/tests/log/script.rs
+++ b/crates/vault/tests/log/script.rs
@@ -1,6 +1,6 @@
 //! A run of records as a machine would write them, and the picture that they make.
 
-use limeway_ballot::{Ballot, Open, Slot};
+use limeway_consensus::{Ballot, Open, Slot};
 use limeway_vault::{Found, Record, Vault, Votes};
 use serde_bytes::ByteBuf;
 
