--- a/crates/marker/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -3,7 +3,7 @@
 //! `data/encodings.txt` holds a line per value: its name and its CBOR in hexadecimal, written by landing 14.
 
 use limeway_consensus::{Ballot, Open, Seat, Word};
-use limeway_marker::messages::{Call, Ping, Pong, Reply, Standing};
+use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
 use limeway_numbering::document::Order;
 use limeway_numbering::{Op, State};
 use limeway_roster::{Claim, Held, Presence};
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod edge;
 pub mod front;
 pub mod link;
-pub use limeway_marker::messages;
+pub use limeway_control_plane::messages;
 pub mod outbound;
 pub mod service;
 pub mod switch;
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -12,7 +12,7 @@
 use limeway_jackfield::{Settings, VARIABLE};
 use limeway_line::http;
 use limeway_line::inbound::{Bounds, Inbound};
-use limeway_marker::Event;
+use limeway_control_plane::Event;
 use limeway_numbering::{Op, State};
 use limeway_tandem::parcel::unseal;
 use limeway_tandem::unpack;
--- a/crates/rig/src/disk.rs
+++ b/crates/rig/src/disk.rs
@@ -3,7 +3,7 @@
 use crate::chance::Chance;
 use crate::Micros;
 use limeway_consensus::Acceptor;
-use limeway_marker::{Job, Record};
+use limeway_control_plane::{Job, Record};
 use limeway_numbering::State;
 use std::collections::VecDeque;
 
--- a/crates/rig/src/faults.rs
+++ b/crates/rig/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::schedule::Fault;
 use crate::world::{Ev, World, LIMITERS};
 use crate::{Off, SECOND};
-use limeway_marker::Event;
+use limeway_control_plane::Event;
 
 impl World {
     fn lose(&mut self, fault: &Fault, begins: bool) {
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -4,7 +4,7 @@
 use crate::world::{Ev, Machine, World};
 use crate::{Micros, Off, SECOND};
 use limeway_consensus::{Seat, Slot};
-use limeway_marker::{Ask, Told};
+use limeway_control_plane::{Ask, Told};
 use limeway_numbering::document::Order;
 use limeway_numbering::State;
 use limeway_roster::GROUPS;
--- a/crates/rig/src/off.rs
+++ b/crates/rig/src/off.rs
@@ -1,7 +1,7 @@
 //! Guards that can be taken away. Nothing is switched in the state machines: what goes in or out of them is tampered with.
 
 use crate::world::{node, World};
-use limeway_marker::messages::{Call, Pong, Reply, Standing};
+use limeway_control_plane::messages::{Call, Pong, Reply, Standing};
 
 /// Which guard is off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -3,8 +3,8 @@
 use crate::chance::Chance;
 use crate::world::{node, Ev, Origin, World, LIMITERS};
 use crate::{Micros, Off, SECOND};
-use limeway_marker::messages::{Call, Reply};
-use limeway_marker::{Ask, Told};
+use limeway_control_plane::messages::{Call, Reply};
+use limeway_control_plane::{Ask, Told};
 use limeway_numbering::document::Order;
 use limeway_roster::{Presence, GROUPS};
 use limeway_tandem::{Board, Poll};
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -7,8 +7,8 @@
 use crate::people::{People, Who};
 use crate::{Micros, Off, Schedule, SECOND};
 use limeway_consensus::Node;
-use limeway_marker::messages::{Call, Reply};
-use limeway_marker::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
+use limeway_control_plane::messages::{Call, Reply};
+use limeway_control_plane::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
 use limeway_toll::Rule;
 use std::collections::BTreeMap;
 
