--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -8,7 +8,7 @@
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
 use limeway_consensus::{Node, Seat, Slot};
 use limeway_numbering::Op;
-use limeway_roster::{Claim, Presence};
+use limeway_membership::{Claim, Presence};
 use limeway_watch::Report;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,7 +131,7 @@
             let ids = std::mem::take(&mut self.beats);
             ids.iter().filter_map(|id| self.board.watch.report(now, id)).collect()
         };
-        self.direct.retain(|_, p| now.saturating_sub(p.age) < limeway_roster::LEASE);
+        self.direct.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::LEASE);
         let age = |p: &Presence| Presence { age: now.saturating_sub(p.age), ..p.clone() };
         let members: Vec<Presence> = self.direct.values().map(age).collect();
         let mut given = BTreeMap::new();
--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -3,7 +3,7 @@
 use crate::messages::Reply;
 use crate::{Marker, Micros};
 use limeway_consensus::Node;
-use limeway_roster::{Claim, GROUPS};
+use limeway_membership::{Claim, GROUPS};
 use limeway_toll::count::Count;
 use limeway_toll::Request;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
             if self.duties.won(now, asked, *claim) {
                 // It begins a whole window after the last holding, which at the latest ended when this one began, or before
                 // this process started. So does the very first one: who is first cannot be told from who has just come back.
-                let young = now < self.started + limeway_roster::TERM;
+                let young = now < self.started + limeway_membership::TERM;
                 let begin = if young { now.max(self.started + length) } else { now + length };
                 let term = self.start.boot ^ now.rotate_left(32);
                 let doors = &self.board.state.doors;
@@ -77,7 +77,7 @@
             let holds = self.duties.holds(now, group);
             let Some(count) = self.counts[group].as_mut().filter(|_| holds) else { continue };
             let span = |name: &str| {
-                let tenant = plan.tenants.get(name).filter(|_| limeway_roster::group(name) == group)?;
+                let tenant = plan.tenants.get(name).filter(|_| limeway_membership::group(name) == group)?;
                 rule.span(tenant.rate, tenant.burst)
             };
             answers.extend(count.answer(now, now + limeway_toll::BLOCK, node, request, span));
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -25,7 +25,7 @@
 
 use limeway_consensus::{Acceptor, Life, Node, Seat, Slot};
 use limeway_numbering::{BadConfig, Order, Plan, State};
-use limeway_roster::{Duties, Presence, Roster, Votes, GROUPS};
+use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
 use limeway_tandem::parcel::Want;
 use limeway_tandem::Board;
 use limeway_toll::count::Count;
@@ -370,7 +370,7 @@
     /// A number drawn by chance.
     fn draw(&mut self) -> u64 {
         self.chance = self.chance.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        limeway_roster::hash(&self.chance.to_le_bytes())
+        limeway_membership::hash(&self.chance.to_le_bytes())
     }
 
     /// The seats that vote on the next slot; none on a machine that has heard of no core yet.
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -1,7 +1,7 @@
 //! What processes of the system say to each other.
 
 use limeway_consensus::{Ballot, Life, Node, Slot, Word};
-use limeway_roster::{Claim, Held, Presence};
+use limeway_membership::{Claim, Held, Presence};
 use limeway_tandem::parcel::Want;
 use limeway_tandem::{Feed, Poll, Steps};
 use limeway_toll::{Answer, Request};
--- a/crates/control/control-plane/src/seats.rs
+++ b/crates/control/control-plane/src/seats.rs
@@ -27,7 +27,7 @@
 /// A newcomer has shown itself for so long.
 const NEW: Micros = 300_000;
 /// Those that held a seat may hold duties for this long.
-const FORMER: Micros = limeway_roster::TERM + 2_000_000;
+const FORMER: Micros = limeway_membership::TERM + 2_000_000;
 /// A machine that is told to end goes on for so long in any case.
 pub(crate) const GOODBYE: Micros = 300_000;
 /// The same where a newcomer is to take its seat.
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -6,7 +6,7 @@
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
 use limeway_numbering::document::Order;
 use limeway_numbering::{Op, State};
-use limeway_roster::{Claim, Held, Presence};
+use limeway_membership::{Claim, Held, Presence};
 use limeway_tandem::parcel::{Have, Label, Part, Want};
 use limeway_tandem::{pack, unpack, Feed, Poll, Steps};
 use limeway_toll::{Answer, Ask, Block, Grant, Phase as Windows, Request};
--- a/crates/roster/tests/duties.rs
+++ b/crates/control/membership/tests/duties.rs
@@ -1,6 +1,6 @@
 //! Duties change hands under a fence, whatever is lost, late or restarted.
 
-use limeway_roster::{first, group, Claim, Duties, Held, Micros, Votes, CLAIM, GROUPS, TERM};
+use limeway_membership::{first, group, Claim, Duties, Held, Micros, Votes, CLAIM, GROUPS, TERM};
 use rstest::rstest;
 
 struct Chance(u64);
@@ -8,7 +8,7 @@
 impl Chance {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        limeway_roster::hash(&self.0.to_le_bytes()) % n
+        limeway_membership::hash(&self.0.to_le_bytes()) % n
     }
 }
 
--- a/crates/exchange/src/clock.rs
+++ b/crates/exchange/src/clock.rs
@@ -31,13 +31,13 @@
         u64::from(std::process::id()),
     ];
     let bytes: Vec<u8> = mix.iter().flat_map(|n| n.to_le_bytes()).collect();
-    SEED.with(|s| s.set(limeway_roster::hash(&bytes) | 1));
+    SEED.with(|s| s.set(limeway_membership::hash(&bytes) | 1));
 }
 
 /// A number drawn by chance.
 pub fn draw() -> u64 {
     SEED.with(|s| {
         s.set(s.get().wrapping_add(0x9e37_79b9_7f4a_7c15));
-        limeway_roster::hash(&s.get().to_le_bytes())
+        limeway_membership::hash(&s.get().to_le_bytes())
     })
 }
--- a/crates/exchange/src/edge.rs
+++ b/crates/exchange/src/edge.rs
@@ -9,7 +9,7 @@
 use crate::outbound::Pools;
 use limeway_jackfield::Settings;
 use limeway_numbering::Plan;
-use limeway_roster::{rank, Node, Presence};
+use limeway_membership::{rank, Node, Presence};
 use limeway_selector::{cold_share, Candidate, Near, Selector, Tries};
 use limeway_tandem::follow::{Follower, Next};
 use limeway_tandem::parcel::Want;
@@ -328,7 +328,7 @@
     fn cold_rate(&self, id: &str, zone: &str, region: &str, rate: f64) -> f64 {
         let board = self.board.borrow();
         let b = &self.settings.bounds;
-        let key = limeway_roster::hash(id.as_bytes());
+        let key = limeway_membership::hash(id.as_bytes());
         let zones = &self.settings.zones;
         let of = |near: &dyn Fn(&str) -> bool| -> Vec<Node> {
             board.members().iter().filter(|(_, z)| near(z)).map(|(n, _)| *n).collect()
--- a/crates/exchange/src/edge/quotas.rs
+++ b/crates/exchange/src/edge/quotas.rs
@@ -49,7 +49,7 @@
     /// A unit of a tenant's quota for one request. An error tells when the next window begins.
     pub async fn unit(&self, tenant: &str, rate: f64, burst: f64) -> Result<(), Micros> {
         let Some(span) = self.rule.span(rate, burst) else { return Ok(()) };
-        let group = limeway_roster::group(tenant);
+        let group = limeway_membership::group(tenant);
         let holder = self.holder(group);
         match self.desk.borrow_mut().take(now(), tenant, group, holder, span) {
             Take::Yes => return Ok(()),
@@ -92,8 +92,8 @@
         let s = &self.settings;
         let near = board.members().iter().filter(|(_, z)| s.zones.get(z) == Some(&s.region)).map(|(n, _)| *n);
         let key = NEIGHBOURS ^ group as u64;
-        let first = limeway_roster::first(key, near.clone());
-        let second = limeway_roster::first(key, near.filter(|n| Some(*n) != first));
+        let first = limeway_membership::first(key, near.clone());
+        let second = limeway_membership::first(key, near.filter(|n| Some(*n) != first));
         first.into_iter().chain(second).filter(|n| *n != self.me).collect()
     }
 
@@ -101,7 +101,7 @@
     pub(super) fn lend(&self, tenant: &str) -> Reply {
         let plan = self.plan();
         let span = plan.tenants.get(tenant).and_then(|t| self.rule.span(t.rate, t.burst));
-        let group = limeway_roster::group(tenant);
+        let group = limeway_membership::group(tenant);
         let holder = self.holder(group);
         match span {
             Some(span) if self.desk.borrow_mut().lend(now(), tenant, group, holder, span) => Reply::Done,
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -7,7 +7,7 @@
 use limeway_control_plane::{Ask, Told};
 use limeway_numbering::document::Order;
 use limeway_numbering::State;
-use limeway_roster::GROUPS;
+use limeway_membership::GROUPS;
 use limeway_watch::Phase;
 use std::collections::BTreeMap;
 
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -6,7 +6,7 @@
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Ask, Told};
 use limeway_numbering::document::Order;
-use limeway_roster::{Presence, GROUPS};
+use limeway_membership::{Presence, GROUPS};
 use limeway_tandem::{Board, Poll};
 use limeway_toll::Request;
 use limeway_watch::{Phase, Report};
@@ -309,7 +309,7 @@
         let known = limiter.board.state.core_nodes().into_iter().map(|n| n as usize - 1);
         let mut order: Vec<usize> = known.collect();
         order.extend((0..self.machines.len()).filter(|m| self.machines[*m].exists));
-        order.sort_by_key(|m| std::cmp::Reverse(limeway_roster::rank(u64::from(me.node), node(*m))));
+        order.sort_by_key(|m| std::cmp::Reverse(limeway_membership::rank(u64::from(me.node), node(*m))));
         let up = order.iter().find(|m| !limiter.failed.contains_key(m));
         let to = up.or(order.first()).copied().unwrap_or(0);
         let (epoch, servers, members) = limiter.above;
--- a/crates/rig/src/play.rs
+++ b/crates/rig/src/play.rs
@@ -72,7 +72,7 @@
         for machine in &world.machines {
             bytes.extend(limeway_tandem::pack(&machine.disk.state));
         }
-        limeway_roster::hash(&bytes)
+        limeway_membership::hash(&bytes)
     })
 }
 
--- a/crates/ringer/src/slopes.rs
+++ b/crates/ringer/src/slopes.rs
@@ -3,7 +3,7 @@
 
 use limeway_numbering::document::Order;
 use limeway_numbering::{Op, State};
-use limeway_roster::{Presence, Roster};
+use limeway_membership::{Presence, Roster};
 use limeway_tandem::{pack, Board, Poll};
 use limeway_toll::count::Count;
 use limeway_toll::escrow::Escrow;
@@ -63,7 +63,7 @@
 
 fn report(n: u64, count: u64) -> Report {
     Report {
-        id: format!("i-{:010x}", limeway_roster::hash(&n.to_le_bytes()) >> 24),
+        id: format!("i-{:010x}", limeway_membership::hash(&n.to_le_bytes()) >> 24),
         service: format!("service{}", n % 170),
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + n as u32), 8080),
         zone: format!("zone-number-{}", n % 24),
--- a/crates/tandem/src/follow.rs
+++ b/crates/tandem/src/follow.rs
@@ -12,7 +12,7 @@
 
 use crate::parcel::{Want, PART, PART_LEAST};
 use crate::{tree, Board, Changed, Feed, Micros, Node, Poll, Steps, Trust};
-use limeway_roster::{hash, rank, Presence};
+use limeway_membership::{hash, rank, Presence};
 use std::collections::BTreeMap;
 
 /// First pause in which one who was silent or unsure is passed over.
@@ -165,7 +165,7 @@
 
     /// The poll to send.
     pub fn poll(&mut self, now: Micros, board: &Board, me: Presence, wait: Micros) -> Poll {
-        self.below.retain(|_, p| now.saturating_sub(p.age) < limeway_roster::LEASE);
+        self.below.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::LEASE);
         let age = |p: &Presence| Presence { age: now.saturating_sub(p.age), ..p.clone() };
         Poll {
             me,
--- a/crates/tandem/src/lib.rs
+++ b/crates/tandem/src/lib.rs
@@ -16,7 +16,7 @@
 #![forbid(unsafe_code)]
 
 use limeway_numbering::{Op, State};
-use limeway_roster::{Node, Presence, GROUPS};
+use limeway_membership::{Node, Presence, GROUPS};
 use limeway_watch::{Report, Watch};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
--- a/crates/tandem/src/parcel.rs
+++ b/crates/tandem/src/parcel.rs
@@ -4,7 +4,7 @@
 //! parts of it may come from any teller that has the same one, and go on where they stopped after a break. Whoever has
 //! another one under that slot begins with it anew. What does not match its digest once it is whole is thrown away.
 
-use limeway_roster::hash;
+use limeway_membership::hash;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
--- a/crates/tandem/src/tree.rs
+++ b/crates/tandem/src/tree.rs
@@ -6,7 +6,7 @@
 //! in tiers of [`FAN`].
 
 use crate::{Member, Node};
-use limeway_roster::{hash, rank};
+use limeway_membership::{hash, rank};
 
 /// Limiters that poll one relay, at most.
 pub const FAN: usize = 16;
--- a/crates/tandem/tests/common/mod.rs
+++ b/crates/tandem/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use limeway_numbering::document::{Item, Kind};
 use limeway_numbering::Op;
-use limeway_roster::Presence;
+use limeway_membership::Presence;
 use limeway_tandem::{pack, Board, Micros, Poll};
 use limeway_watch::{Phase, Report};
 use std::net::SocketAddrV4;
@@ -36,7 +36,7 @@
 /// Some routes with names that do not compress well: the same ones for the same `seed`.
 pub fn routes(seed: u64, count: u64) -> Vec<u8> {
     let route = |n: u64| {
-        let draw = |salt: u64| limeway_roster::hash(&[seed, n, salt].map(u64::to_le_bytes).concat());
+        let draw = |salt: u64| limeway_membership::hash(&[seed, n, salt].map(u64::to_le_bytes).concat());
         let spec = format!(
             "{{\"hostname\":\"{:x}.example\",\"path-prefix\":\"/{:x}{:x}{:x}/\"}}",
             draw(1),
--- a/crates/tandem/tests/following.rs
+++ b/crates/tandem/tests/following.rs
@@ -4,7 +4,7 @@
 
 use common::{core, presence};
 use limeway_numbering::Op;
-use limeway_roster::Node;
+use limeway_membership::Node;
 use limeway_tandem::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
 use limeway_tandem::parcel::{PART, PART_LEAST};
 use limeway_tandem::{pack, Board, Micros};
--- a/crates/tandem/tests/storm.rs
+++ b/crates/tandem/tests/storm.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{core, presence, routes};
-use limeway_roster::Node;
+use limeway_membership::Node;
 use limeway_tandem::follow::{Follower, Next};
 use limeway_tandem::parcel::Want;
 use limeway_tandem::{Board, Feed, Member, Micros, Poll, Steps};
