--- a/crates/control/control-plane/src/ballots.rs
+++ b/crates/control/control-plane/src/ballots.rs
@@ -4,7 +4,7 @@
 use crate::paper::After;
 use crate::{Action, Asked, Marker, Micros, Token};
 use limeway_consensus::{Ballot, Next, Node, Round, Slot, Word};
-use limeway_tandem::parcel::Want;
+use limeway_distribution::parcel::Want;
 use serde_bytes::ByteBuf;
 
 /// A voter's word counts for so long.
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -284,7 +284,7 @@
             std::mem::take(&mut self.contact.finish) && self.contact.pending == self.board.state.slot + 1;
         if due {
             let nothing = Op::Doors { add: Vec::new(), drop: Vec::new() };
-            self.hold(now, ByteBuf::from(limeway_tandem::pack(&nothing)), out);
+            self.hold(now, ByteBuf::from(limeway_distribution::pack(&nothing)), out);
         }
         due
     }
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -2,8 +2,8 @@
 
 use limeway_consensus::{Ballot, Life, Node, Slot, Word};
 use limeway_membership::{Claim, Held, Presence};
-use limeway_tandem::parcel::Want;
-use limeway_tandem::{Feed, Poll, Steps};
+use limeway_distribution::parcel::Want;
+use limeway_distribution::{Feed, Poll, Steps};
 use limeway_toll::{Answer, Request};
 use limeway_watch::Report;
 use serde::{Deserialize, Serialize};
--- a/crates/control/control-plane/src/news.rs
+++ b/crates/control/control-plane/src/news.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Reply;
 use crate::{Action, Marker, Micros, Token};
-use limeway_tandem::Poll;
+use limeway_distribution::Poll;
 
 /// Longest that a poll is held.
 const HOLD_MOST: Micros = 2_000_000;
--- a/crates/tandem/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use limeway_numbering::document::{Item, Kind};
 use limeway_numbering::Op;
 use limeway_membership::Presence;
-use limeway_tandem::{pack, Board, Micros, Poll};
+use limeway_distribution::{pack, Board, Micros, Poll};
 use limeway_watch::{Phase, Report};
 use std::net::SocketAddrV4;
 
--- a/crates/tandem/tests/feeds.rs
+++ b/crates/control/distribution/tests/feeds.rs
@@ -4,7 +4,7 @@
 
 use common::{poll, report};
 use limeway_numbering::Op;
-use limeway_tandem::{pack, tree, Board, Member};
+use limeway_distribution::{pack, tree, Board, Member};
 use limeway_watch::Phase;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -122,5 +122,5 @@
     let feed = core.feed(1_000_000, &poll(&Board::relay(1), 0, 0, 0), 0);
     let bytes = pack(&feed);
     assert!(bytes.len() < pack(&feed.servers).len() / 4, "{} bytes", bytes.len());
-    assert_eq!(limeway_tandem::unpack::<limeway_tandem::Feed>(&bytes), Some(feed));
+    assert_eq!(limeway_distribution::unpack::<limeway_distribution::Feed>(&bytes), Some(feed));
 }
--- a/crates/tandem/tests/following.rs
+++ b/crates/control/distribution/tests/following.rs
@@ -5,9 +5,9 @@
 use common::{core, presence};
 use limeway_numbering::Op;
 use limeway_membership::Node;
-use limeway_tandem::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
-use limeway_tandem::parcel::{PART, PART_LEAST};
-use limeway_tandem::{pack, Board, Micros};
+use limeway_distribution::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
+use limeway_distribution::parcel::{PART, PART_LEAST};
+use limeway_distribution::{pack, Board, Micros};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/crates/tandem/tests/parts.rs
+++ b/crates/control/distribution/tests/parts.rs
@@ -4,8 +4,8 @@
 
 use common::{core, poll, routes};
 use limeway_numbering::Op;
-use limeway_tandem::parcel::{seal, unseal, Want, PART, PART_LEAST};
-use limeway_tandem::{pack, Board, Steps};
+use limeway_distribution::parcel::{seal, unseal, Want, PART, PART_LEAST};
+use limeway_distribution::{pack, Board, Steps};
 use rstest::rstest;
 
 /// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
--- a/crates/tandem/tests/storm.rs
+++ b/crates/control/distribution/tests/storm.rs
@@ -5,9 +5,9 @@
 
 use common::{core, presence, routes};
 use limeway_membership::Node;
-use limeway_tandem::follow::{Follower, Next};
-use limeway_tandem::parcel::Want;
-use limeway_tandem::{Board, Feed, Member, Micros, Poll, Steps};
+use limeway_distribution::follow::{Follower, Next};
+use limeway_distribution::parcel::Want;
+use limeway_distribution::{Board, Feed, Member, Micros, Poll, Steps};
 use rstest::rstest;
 
 /// A step of virtual time, in microseconds.
@@ -44,7 +44,7 @@
 }
 
 fn size(message: &impl serde::Serialize) -> u64 {
-    limeway_tandem::pack(message).len() as u64 + 60
+    limeway_distribution::pack(message).len() as u64 + 60
 }
 
 struct Zone {
--- a/crates/rig/src/disk.rs
+++ b/crates/rig/src/disk.rs
@@ -68,14 +68,14 @@
             ));
         }
         if let Some((slot, bytes)) = record.snapshot {
-            let state: Option<State> = limeway_tandem::unpack(&bytes);
+            let state: Option<State> = limeway_distribution::unpack(&bytes);
             self.state = state.filter(|s| s.slot == slot).ok_or("a snapshot that cannot be read")?;
         }
         for (slot, op) in record.ops {
             if slot != self.state.slot + 1 {
                 return Err(format!("operation {slot} written on a state of slot {}", self.state.slot));
             }
-            let op = limeway_tandem::parcel::unseal(&op).and_then(|op| limeway_tandem::unpack(&op));
+            let op = limeway_distribution::parcel::unseal(&op).and_then(|op| limeway_distribution::unpack(&op));
             self.state.apply(&op.ok_or("an operation that cannot be read")?);
         }
         if record.votes.applied != self.state.slot {
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,6 +1,6 @@
 //! The core machines' state machines under a simulated network, disks and faults, in virtual time, from a seed.
 //!
-//! What runs here is [`limeway_control_plane::Marker`] and [`limeway_tandem::Board`] themselves, not copies: the rig stands where sockets,
+//! What runs here is [`limeway_control_plane::Marker`] and [`limeway_distribution::Board`] themselves, not copies: the rig stands where sockets,
 //! disk and clock stand in the program. Limiters, servers and operators are simple stand-ins that keep to the protocol.
 //!
 //! - [`Schedule`] is a deployment and its faults, drawn from a seed within the fault model: at most so many machines are lost
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -7,7 +7,7 @@
 use limeway_control_plane::{Ask, Told};
 use limeway_numbering::document::Order;
 use limeway_membership::{Presence, GROUPS};
-use limeway_tandem::{Board, Poll};
+use limeway_distribution::{Board, Poll};
 use limeway_toll::Request;
 use limeway_watch::{Phase, Report};
 use std::collections::BTreeMap;
--- a/crates/ringer/src/slopes.rs
+++ b/crates/ringer/src/slopes.rs
@@ -4,7 +4,7 @@
 use limeway_numbering::document::Order;
 use limeway_numbering::{Op, State};
 use limeway_membership::{Presence, Roster};
-use limeway_tandem::{pack, Board, Poll};
+use limeway_distribution::{pack, Board, Poll};
 use limeway_toll::count::Count;
 use limeway_toll::escrow::Escrow;
 use limeway_toll::{Ask, Rule};
