--- a/crates/vault/examples/record_cost.rs
+++ b/crates/control/storage/examples/record_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p limeway-vault --example record_cost [FOLDER]`
 
-use limeway_vault::{Folder, Medium, Name, Record, Vault, Votes};
+use limeway_storage::{Folder, Medium, Name, Record, Vault, Votes};
 use redb::{Database, StorageBackend, TableDefinition};
 use std::io;
 use std::path::PathBuf;
--- a/crates/vault/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What is on disk comes back; what is torn or foreign is set aside and never taken for an empty disk's fresh start.
 
 use limeway_consensus::{Acceptor, Ballot};
-use limeway_vault::{Folder as Disk, Found, Record, Vault, Votes};
+use limeway_storage::{Folder as Disk, Found, Record, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::path::PathBuf;
--- a/crates/vault/tests/kept.rs
+++ b/crates/control/storage/tests/kept.rs
@@ -1,7 +1,7 @@
 //! A state file as landing 14 wrote it, `data/state.redb`, is read with all that it holds.
 
 use limeway_consensus::{Ballot, Open};
-use limeway_vault::{Folder, Found, Vault, Votes};
+use limeway_storage::{Folder, Found, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::path::PathBuf;
--- a/crates/vault/tests/log/faults.rs
+++ b/crates/control/storage/tests/log/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::script::{Picture, NODE};
 use crate::sim::{Loss, Sim, Trouble};
-use limeway_vault::{Vault, VaultError};
+use limeway_storage::{Vault, VaultError};
 use rstest::rstest;
 
 /// Runs the script; the pictures that may be on disk.
--- a/crates/vault/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -1,7 +1,7 @@
 //! A real process on a real folder is killed (SIGKILL) between any two of its writes.
 
 use crate::script::{self, Picture, NODE};
-use limeway_vault::{Folder, Medium, Name, Vault};
+use limeway_storage::{Folder, Medium, Name, Vault};
 use redb::StorageBackend;
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
--- a/crates/vault/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -1,7 +1,7 @@
 //! A run of records as a machine would write them, and the picture that they make.
 
 use limeway_consensus::{Ballot, Open, Slot};
-use limeway_vault::{Found, Record, Vault, Votes};
+use limeway_storage::{Found, Record, Vault, Votes};
 use serde_bytes::ByteBuf;
 
 /// Whose file it is.
--- a/crates/vault/tests/log/sim.rs
+++ b/crates/control/storage/tests/log/sim.rs
@@ -1,7 +1,7 @@
 //! Files and names in memory, with a step counted for each change: ended at any step, and brought back as a kill or a loss of
 //! power may leave them.
 
-use limeway_vault::{Medium, Name};
+use limeway_storage::{Medium, Name};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -9,7 +9,7 @@
 use limeway_control_plane::{Action, Ask, Event, Job, Marker, Start, Token, Told};
 use limeway_numbering::State;
 use limeway_toll::Rule;
-use limeway_vault::{Record, Votes};
+use limeway_storage::{Record, Votes};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/exchange/src/disk.rs
+++ b/crates/exchange/src/disk.rs
@@ -13,7 +13,7 @@
 
 use error_stack::Report;
 use limeway_consensus::{Life, Node};
-use limeway_vault::{Folder, Found, Record, Vault, VaultError};
+use limeway_storage::{Folder, Found, Record, Vault, VaultError};
 use std::cell::Cell;
 use std::future::Future;
 use std::path::PathBuf;
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -16,7 +16,7 @@
 use limeway_numbering::{Op, State};
 use limeway_distribution::parcel::unseal;
 use limeway_distribution::unpack;
-use limeway_vault::Found;
+use limeway_storage::Found;
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/exchange/tests/disk.rs
+++ b/crates/exchange/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The writing thread before a disk that hangs or refuses: the caller goes on, and nothing counts that may be missing.
 
 use limeway_exchange::disk::Disk;
-use limeway_vault::{Folder, Medium, Name, Record, StorageBackend, Vault, Votes};
+use limeway_storage::{Folder, Medium, Name, Record, StorageBackend, Vault, Votes};
 use std::future::Future;
 use std::io;
 use std::path::PathBuf;
