--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Call, Ping, Pong, Reply};
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
 use limeway_consensus::{Node, Seat, Slot};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use limeway_membership::{Claim, Presence};
 use limeway_watch::Report;
 use serde_bytes::ByteBuf;
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -24,7 +24,7 @@
 mod servers;
 
 use limeway_consensus::{Acceptor, Life, Node, Seat, Slot};
-use limeway_numbering::{BadConfig, Order, Plan, State};
+use limeway_routing_config::{BadConfig, Order, Plan, State};
 use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::Board;
--- a/crates/control/control-plane/src/orders.rs
+++ b/crates/control/control-plane/src/orders.rs
@@ -6,8 +6,8 @@
 
 use crate::{Action, Ask, Marker, Micros, Token, Told};
 use limeway_consensus::Slot;
-use limeway_numbering::evacuation::{Calls, Next as Call};
-use limeway_numbering::{Op, Order, Plan, Refusal, State};
+use limeway_routing_config::evacuation::{Calls, Next as Call};
+use limeway_routing_config::{Op, Order, Plan, Refusal, State};
 use serde_bytes::ByteBuf;
 use std::collections::VecDeque;
 
--- a/crates/control/control-plane/src/seats.rs
+++ b/crates/control/control-plane/src/seats.rs
@@ -12,7 +12,7 @@
 
 use crate::{Action, Marker, Micros, Shown, CORE_MOST, SHOWS, TOUCH};
 use limeway_consensus::{Node, Seat};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use std::collections::BTreeSet;
 
 /// The first seats are those of the machines that the settings file of the first start names. The others of that start are
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -4,8 +4,8 @@
 
 use limeway_consensus::{Ballot, Open, Seat, Word};
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
-use limeway_numbering::document::Order;
-use limeway_numbering::{Op, State};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, State};
 use limeway_membership::{Claim, Held, Presence};
 use limeway_distribution::parcel::{Have, Label, Part, Want};
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -15,7 +15,7 @@
 //! Free of I/O; times are those of each machine's own steady clock.
 #![forbid(unsafe_code)]
 
-use limeway_numbering::{Op, State};
+use limeway_routing_config::{Op, State};
 use limeway_membership::{Node, Presence, GROUPS};
 use limeway_watch::{Report, Watch};
 use serde::{Deserialize, Serialize};
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{core, poll, report};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use limeway_distribution::{pack, Board, Trust, UNSURE};
 use limeway_watch::Phase;
 use rstest::rstest;
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Boards, polls and operations for the tests of this package.
 #![allow(dead_code)]
 
-use limeway_numbering::document::{Item, Kind};
-use limeway_numbering::Op;
+use limeway_routing_config::document::{Item, Kind};
+use limeway_routing_config::Op;
 use limeway_membership::Presence;
 use limeway_distribution::{pack, Board, Micros, Poll};
 use limeway_watch::{Phase, Report};
--- a/crates/control/distribution/tests/feeds.rs
+++ b/crates/control/distribution/tests/feeds.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{poll, report};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use limeway_distribution::{pack, tree, Board, Member};
 use limeway_watch::Phase;
 use rstest::rstest;
--- a/crates/control/distribution/tests/following.rs
+++ b/crates/control/distribution/tests/following.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{core, presence};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use limeway_membership::Node;
 use limeway_distribution::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
 use limeway_distribution::parcel::{PART, PART_LEAST};
--- a/crates/control/distribution/tests/parts.rs
+++ b/crates/control/distribution/tests/parts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{core, poll, routes};
-use limeway_numbering::Op;
+use limeway_routing_config::Op;
 use limeway_distribution::parcel::{seal, unseal, Want, PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Steps};
 use rstest::rstest;
--- a/crates/numbering/examples/changes.rs
+++ b/crates/control/routing-config/examples/changes.rs
@@ -3,8 +3,8 @@
 //!     cargo run --release -p limeway-numbering --example changes
 //!     cargo run --release -p limeway-numbering --example changes -- 2000 47000    memory instead
 
-use limeway_numbering::document::Order;
-use limeway_numbering::{Op, Plan, State};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, Plan, State};
 use std::time::{Duration, Instant};
 
 /// Changes measured for each size.
--- a/crates/numbering/tests/changes.rs
+++ b/crates/control/routing-config/tests/changes.rs
@@ -1,7 +1,7 @@
 //! Orders as differences and snapshots made from the last one: the same as taking each whole, in any sequence of changes.
 
-use limeway_numbering::document::Order;
-use limeway_numbering::{Op, Plan, State};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, Plan, State};
 use rstest::rstest;
 use std::rc::Rc;
 
--- a/crates/numbering/tests/evacuations.rs
+++ b/crates/control/routing-config/tests/evacuations.rs
@@ -1,7 +1,7 @@
 //! Calls about zones: the same call counts once wherever and whenever it comes again, and two operators count as two.
 
-use limeway_numbering::evacuation::{Calls, Next};
-use limeway_numbering::{Op, State};
+use limeway_routing_config::evacuation::{Calls, Next};
+use limeway_routing_config::{Op, State};
 use rstest::rstest;
 
 const ACK_TIMEOUT: u64 = 6_000_000;
--- a/crates/numbering/tests/orders.rs
+++ b/crates/control/routing-config/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of operators: every kind of invalid one names what is wrong and changes nothing; valid ones are read back as sent.
 
-use limeway_numbering::document::Order;
-use limeway_numbering::{Op, Refusal, State};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, Refusal, State};
 use miniserde::json::{self, Value};
 use rstest::rstest;
 
--- a/crates/exchange/src/control.rs
+++ b/crates/exchange/src/control.rs
@@ -6,7 +6,7 @@
 use limeway_line::http;
 use limeway_line::inbound::{Bounds, Inbound, Stop};
 use limeway_control_plane::{Ask, Event, Told};
-use limeway_numbering::document::{self, Order};
+use limeway_routing_config::document::{self, Order};
 use limeway_watch::{Phase, Report};
 use miniserde::json::{self, Number, Value};
 use std::cell::Cell;
--- a/crates/exchange/src/edge.rs
+++ b/crates/exchange/src/edge.rs
@@ -8,7 +8,7 @@
 use crate::messages::{Call, Reply};
 use crate::outbound::Pools;
 use limeway_jackfield::Settings;
-use limeway_numbering::Plan;
+use limeway_routing_config::Plan;
 use limeway_membership::{rank, Node, Presence};
 use limeway_selector::{cold_share, Candidate, Near, Selector, Tries};
 use limeway_distribution::follow::{Follower, Next};
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -13,7 +13,7 @@
 use limeway_line::http;
 use limeway_line::inbound::{Bounds, Inbound};
 use limeway_control_plane::Event;
-use limeway_numbering::{Op, State};
+use limeway_routing_config::{Op, State};
 use limeway_distribution::parcel::unseal;
 use limeway_distribution::unpack;
 use limeway_storage::Found;
--- a/crates/exchange/src/switch.rs
+++ b/crates/exchange/src/switch.rs
@@ -7,7 +7,7 @@
 use crate::wanted::{pass_on, service, wanted, Own, Wanted, LATER};
 use limeway_line::conn::{Counted, Reply};
 use limeway_line::inbound::{Bounds, Inbound, Message, Stop};
-use limeway_numbering::plan::Limits;
+use limeway_routing_config::plan::Limits;
 use limeway_selector::verdict::{nowhere, End, Head, Learnt, Next, Try};
 use limeway_selector::Outcome;
 use std::cell::Cell;
--- a/crates/exchange/src/wanted.rs
+++ b/crates/exchange/src/wanted.rs
@@ -6,7 +6,7 @@
 use limeway_line::conn::Reply;
 use limeway_line::http;
 use limeway_line::inbound::Message;
-use limeway_numbering::plan::{Route, Tenant};
+use limeway_routing_config::plan::{Route, Tenant};
 use std::io::Write;
 use std::rc::Rc;
 
--- a/crates/rig/src/disk.rs
+++ b/crates/rig/src/disk.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 use limeway_consensus::Acceptor;
 use limeway_control_plane::{Job, Record};
-use limeway_numbering::State;
+use limeway_routing_config::State;
 use std::collections::VecDeque;
 
 /// What a machine has on disk, and what is on its way there.
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Off, SECOND};
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Ask, Told};
-use limeway_numbering::document::Order;
+use limeway_routing_config::document::Order;
 use limeway_membership::{Presence, GROUPS};
 use limeway_distribution::{Board, Poll};
 use limeway_toll::Request;
--- a/crates/ringer/src/slopes.rs
+++ b/crates/ringer/src/slopes.rs
@@ -1,8 +1,8 @@
 //! What one more limiter, server, route or tenant costs: the state machines of the system, driven by hand at one, two, four
 //! and eight times a size. `docs/CAPACITY.md` works the target out from these slopes.
 
-use limeway_numbering::document::Order;
-use limeway_numbering::{Op, State};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, State};
 use limeway_membership::{Presence, Roster};
 use limeway_distribution::{pack, Board, Poll};
 use limeway_toll::count::Count;
