--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -9,7 +9,7 @@
 use limeway_consensus::{Node, Seat, Slot};
 use limeway_routing_config::Op;
 use limeway_membership::{Claim, Presence};
-use limeway_watch::Report;
+use limeway_service_registry::Report;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -30,7 +30,7 @@
 use limeway_distribution::Board;
 use limeway_toll::count::Count;
 use limeway_toll::Rule;
-use limeway_watch::Report;
+use limeway_service_registry::Report;
 use messages::{Call, Reply, Standing};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -5,7 +5,7 @@
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Feed, Poll, Steps};
 use limeway_toll::{Answer, Request};
-use limeway_watch::Report;
+use limeway_service_registry::Report;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
--- a/crates/control/control-plane/src/servers.rs
+++ b/crates/control/control-plane/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::messages::Call;
 use crate::{Action, Asked, Marker, Micros, Token, Told};
 use limeway_consensus::Node;
-use limeway_watch::{Heard, Phase, Report};
+use limeway_service_registry::{Heard, Phase, Report};
 
 /// Others hear of a step within it.
 const SPREAD_WAIT: Micros = 500_000;
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -17,7 +17,7 @@
 
 use limeway_routing_config::{Op, State};
 use limeway_membership::{Node, Presence, GROUPS};
-use limeway_watch::{Report, Watch};
+use limeway_service_registry::{Report, Watch};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::cell::RefCell;
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -5,7 +5,7 @@
 use common::{core, poll, report};
 use limeway_routing_config::Op;
 use limeway_distribution::{pack, Board, Trust, UNSURE};
-use limeway_watch::Phase;
+use limeway_service_registry::Phase;
 use rstest::rstest;
 
 const NOW: u64 = 100_000_000;
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use limeway_routing_config::Op;
 use limeway_membership::Presence;
 use limeway_distribution::{pack, Board, Micros, Poll};
-use limeway_watch::{Phase, Report};
+use limeway_service_registry::{Phase, Report};
 use std::net::SocketAddrV4;
 
 pub fn presence(node: u32) -> Presence {
--- a/crates/watch/tests/reports.rs
+++ b/crates/control/service-registry/tests/reports.rs
@@ -1,6 +1,6 @@
 //! Reports of servers merge, whatever way they take.
 
-use limeway_watch::{Heard, Phase, Report, Watch};
+use limeway_service_registry::{Heard, Phase, Report, Watch};
 use rstest::rstest;
 use std::net::SocketAddrV4;
 
--- a/crates/exchange/src/control.rs
+++ b/crates/exchange/src/control.rs
@@ -7,7 +7,7 @@
 use limeway_line::inbound::{Bounds, Inbound, Stop};
 use limeway_control_plane::{Ask, Event, Told};
 use limeway_routing_config::document::{self, Order};
-use limeway_watch::{Phase, Report};
+use limeway_service_registry::{Phase, Report};
 use miniserde::json::{self, Number, Value};
 use std::cell::Cell;
 use std::net::SocketAddrV4;
--- a/crates/exchange/src/edge.rs
+++ b/crates/exchange/src/edge.rs
@@ -17,7 +17,7 @@
 use limeway_toll::desk::{Desk, Ticket};
 use limeway_toll::escrow::Take;
 use limeway_toll::Rule;
-use limeway_watch::Phase;
+use limeway_service_registry::Phase;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
--- a/crates/rig/src/judge.rs
+++ b/crates/rig/src/judge.rs
@@ -8,7 +8,7 @@
 use limeway_routing_config::document::Order;
 use limeway_routing_config::State;
 use limeway_membership::GROUPS;
-use limeway_watch::Phase;
+use limeway_service_registry::Phase;
 use std::collections::BTreeMap;
 
 /// A machine that nothing ails is in touch and up to date after so long.
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -9,7 +9,7 @@
 use limeway_membership::{Presence, GROUPS};
 use limeway_distribution::{Board, Poll};
 use limeway_toll::Request;
-use limeway_watch::{Phase, Report};
+use limeway_service_registry::{Phase, Report};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
--- a/crates/ringer/src/slopes.rs
+++ b/crates/ringer/src/slopes.rs
@@ -8,7 +8,7 @@
 use limeway_toll::count::Count;
 use limeway_toll::escrow::Escrow;
 use limeway_toll::{Ask, Rule};
-use limeway_watch::{Phase, Report};
+use limeway_service_registry::{Phase, Report};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::mem::forget;
