--- a/crates/trunk/tests/calls.rs
+++ b/crates/data/rpc/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Two ends of a connection in virtual time: each call ends by itself, and what a silence means.
 
 use bytes::BytesMut;
-use limeway_trunk::{Answerer, Body, Caller, Micros, Patience, Sight, Told, CALLS_MOST, DEAD, DOUBT, PIECE};
+use limeway_rpc::{Answerer, Body, Caller, Micros, Patience, Sight, Told, CALLS_MOST, DEAD, DOUBT, PIECE};
 use rstest::rstest;
 use std::collections::HashMap;
 
--- a/crates/trunk/tests/frames.rs
+++ b/crates/data/rpc/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames survive any cut of the stream, and nothing else is taken for one.
 
 use bytes::BytesMut;
-use limeway_trunk::{
+use limeway_rpc::{
     write, Answerer, Assembly, Body, Caller, Came, Dropped, FrameError, Outgoing, FRAME_MOST, OPEN_MOST,
     PACK_FROM, PIECE, QUEUE_MOST, SHORTS_MOST, VERSION,
 };
--- a/crates/exchange/src/link.rs
+++ b/crates/exchange/src/link.rs
@@ -11,7 +11,7 @@
 use crate::clock::{self, Micros};
 use crate::messages::{Call, Reply};
 use bytes::BytesMut;
-use limeway_trunk::{Body, Caller, Full, Patience, Sight, Told};
+use limeway_rpc::{Body, Caller, Full, Patience, Sight, Told};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt;
--- a/crates/exchange/src/link/answering.rs
+++ b/crates/exchange/src/link/answering.rs
@@ -4,7 +4,7 @@
 use crate::clock::{self, Micros};
 use crate::messages::{Call, Reply};
 use bytes::BytesMut;
-use limeway_trunk::{Answerer, Body};
+use limeway_rpc::{Answerer, Body};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/exchange/src/link/wire.rs
+++ b/crates/exchange/src/link/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{self, Micros};
 use bytes::BytesMut;
-use limeway_trunk::FrameError;
+use limeway_rpc::FrameError;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/exchange/tests/links.rs
+++ b/crates/exchange/tests/links.rs
@@ -4,7 +4,7 @@
 use limeway_exchange::link::{self, Link, LinkError};
 use limeway_exchange::messages::{Call, Reply};
 use limeway_distribution::parcel::Want;
-use limeway_trunk::{Answerer, Body};
+use limeway_rpc::{Answerer, Body};
 use rstest::rstest;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/ringer/src/slopes.rs
+++ b/crates/ringer/src/slopes.rs
@@ -103,7 +103,7 @@
 fn framed(message: &impl serde::Serialize) -> f64 {
     let mut frame = Vec::new();
     // Writing to memory does not fail; nothing would count as nothing.
-    let _ = limeway_trunk::write(&mut frame, 1, message);
+    let _ = limeway_rpc::write(&mut frame, 1, message);
     frame.len() as f64
 }
 
@@ -161,7 +161,7 @@
         asked.push(quickest(|| {
             for _ in 0..first * times {
                 let mut frame = Vec::new();
-                let _ = limeway_trunk::write(&mut frame, 1, &black_box(core.feed(1_000_000, &known, 0)));
+                let _ = limeway_rpc::write(&mut frame, 1, &black_box(core.feed(1_000_000, &known, 0)));
                 black_box(frame);
             }
         }));
