--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -4,8 +4,8 @@
 use crate::{Marker, Micros};
 use limeway_consensus::Node;
 use limeway_membership::{Claim, GROUPS};
-use limeway_toll::count::Count;
-use limeway_toll::Request;
+use limeway_quota::count::Count;
+use limeway_quota::Request;
 use std::collections::BTreeMap;
 
 impl Marker {
@@ -80,7 +80,7 @@
                 let tenant = plan.tenants.get(name).filter(|_| limeway_membership::group(name) == group)?;
                 rule.span(tenant.rate, tenant.burst)
             };
-            answers.extend(count.answer(now, now + limeway_toll::BLOCK, node, request, span));
+            answers.extend(count.answer(now, now + limeway_quota::BLOCK, node, request, span));
         }
         Reply::Grants(answers)
     }
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -9,7 +9,7 @@
 use limeway_membership::{Claim, Held, Presence};
 use limeway_distribution::parcel::{Have, Label, Part, Want};
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
-use limeway_toll::{Answer, Ask, Block, Grant, Phase as Windows, Request};
+use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
 use limeway_service_registry::{Phase, Report};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
--- a/crates/toll/tests/bound.rs
+++ b/crates/data/quota/tests/bound.rs
@@ -1,10 +1,10 @@
 //! The bound of quotas over any span, with limiters, counts that change hands, views of them that differ, and requests and
 //! answers that are late, lost or overtaken.
 
-use limeway_toll::count::Count;
-use limeway_toll::desk::{Desk, Errand, Outcome, Settled};
-use limeway_toll::escrow::{Holder, Take};
-use limeway_toll::{Micros, Rule, Span, BLOCK};
+use limeway_quota::count::Count;
+use limeway_quota::desk::{Desk, Errand, Outcome, Settled};
+use limeway_quota::escrow::{Holder, Take};
+use limeway_quota::{Micros, Rule, Span, BLOCK};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
--- a/crates/toll/tests/count.rs
+++ b/crates/data/quota/tests/count.rs
@@ -1,7 +1,7 @@
 //! What a count grants where requests are late, overtaken, lost, or of another life.
 
-use limeway_toll::count::Count;
-use limeway_toll::{Answer, Ask, Block, Micros, Request, Rule, Span, BLOCK, SKEW};
+use limeway_quota::count::Count;
+use limeway_quota::{Answer, Ask, Block, Micros, Request, Rule, Span, BLOCK, SKEW};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
--- a/crates/toll/tests/desk.rs
+++ b/crates/data/quota/tests/desk.rs
@@ -1,10 +1,10 @@
 //! When a limiter asks, what it does with what comes back, and what it says where nothing does.
 
-use limeway_toll::count::Count;
-use limeway_toll::desk::{Desk, Errand, Outcome, Why, COMPLAINT, UNIT_WAIT};
-use limeway_toll::escrow::{Holder, Take};
-use limeway_toll::pace::{BURST, GAP, PAUSE_MOST};
-use limeway_toll::{Answer, Micros, Phase, Rule, Span, BLOCK};
+use limeway_quota::count::Count;
+use limeway_quota::desk::{Desk, Errand, Outcome, Why, COMPLAINT, UNIT_WAIT};
+use limeway_quota::escrow::{Holder, Take};
+use limeway_quota::pace::{BURST, GAP, PAUSE_MOST};
+use limeway_quota::{Answer, Micros, Phase, Rule, Span, BLOCK};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -8,7 +8,7 @@
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Action, Ask, Event, Job, Marker, Start, Token, Told};
 use limeway_routing_config::State;
-use limeway_toll::Rule;
+use limeway_quota::Rule;
 use limeway_storage::{Record, Votes};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/exchange/src/edge/quotas.rs
+++ b/crates/exchange/src/edge/quotas.rs
@@ -1,9 +1,9 @@
 //! A limiter's units of quotas: what it takes, leases, asks of neighbours and lends. What is asked when is decided by
-//! [`limeway_toll::desk`]; here are its sockets and its clock.
+//! [`limeway_quota::desk`]; here are its sockets and its clock.
 
 use super::*;
 use crate::link::LinkError;
-use limeway_toll::desk::{Errand, Outcome, Settled, Ticket};
+use limeway_quota::desk::{Errand, Outcome, Settled, Ticket};
 
 /// A count's answer is waited for this long; later ones are not used.
 const COUNT_WAIT: Duration = Duration::from_millis(320);
--- a/crates/rig/src/people.rs
+++ b/crates/rig/src/people.rs
@@ -8,7 +8,7 @@
 use limeway_routing_config::document::Order;
 use limeway_membership::{Presence, GROUPS};
 use limeway_distribution::{Board, Poll};
-use limeway_toll::Request;
+use limeway_quota::Request;
 use limeway_service_registry::{Phase, Report};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/rig/src/world.rs
+++ b/crates/rig/src/world.rs
@@ -9,7 +9,7 @@
 use limeway_consensus::Node;
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
-use limeway_toll::Rule;
+use limeway_quota::Rule;
 use std::collections::BTreeMap;
 
 /// Limiters.
