--- a/crates/selector/tests/choice.rs
+++ b/crates/data/load-balancing/tests/choice.rs
@@ -1,6 +1,6 @@
 //! Which server is chosen, and what a limiter may spend on further tries.
 
-use limeway_selector::{cold_share, Candidate, Near, Outcome, Selector, Tries};
+use limeway_load_balancing::{cold_share, Candidate, Near, Outcome, Selector, Tries};
 use rstest::rstest;
 use std::rc::Rc;
 
--- a/crates/selector/tests/verdict.rs
+++ b/crates/data/load-balancing/tests/verdict.rs
@@ -1,6 +1,6 @@
 //! Every sequence of up to three attempts: whether the next one may follow, and what the client is told.
 
-use limeway_selector::verdict::{nowhere, End, Head, Learnt, Next, Try};
+use limeway_load_balancing::verdict::{nowhere, End, Head, Learnt, Next, Try};
 use rstest::rstest;
 use Learnt::{Answer, Failed, Lost, Moved, NotRun, Unsent};
 
--- a/crates/exchange/src/edge.rs
+++ b/crates/exchange/src/edge.rs
@@ -10,7 +10,7 @@
 use limeway_jackfield::Settings;
 use limeway_routing_config::Plan;
 use limeway_membership::{rank, Node, Presence};
-use limeway_selector::{cold_share, Candidate, Near, Selector, Tries};
+use limeway_load_balancing::{cold_share, Candidate, Near, Selector, Tries};
 use limeway_distribution::follow::{Follower, Next};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Board, Changed};
