--- a/crates/line/tests/codec.rs
+++ b/crates/data/http1/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Heads and bodies of HTTP/1.1: whole ones at any split, shapes that smuggle, and bytes that are none.
 
 use bytes::BytesMut;
-use limeway_line::http::{self, Body, Framing, Head, HttpError};
+use limeway_http1::http::{self, Body, Framing, Head, HttpError};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/exchange/src/control.rs
+++ b/crates/exchange/src/control.rs
@@ -3,8 +3,8 @@
 use crate::clock::now;
 use crate::core::Core;
 use crate::directory::{self, query};
-use limeway_line::http;
-use limeway_line::inbound::{Bounds, Inbound, Stop};
+use limeway_http1::http;
+use limeway_http1::inbound::{Bounds, Inbound, Stop};
 use limeway_control_plane::{Ask, Event, Told};
 use limeway_routing_config::document::{self, Order};
 use limeway_service_registry::{Phase, Report};
@@ -85,7 +85,7 @@
         if count.get() >= CALLERS_MOST {
             continue;
         }
-        let counted = limeway_line::conn::Counted::new(&count);
+        let counted = limeway_http1::conn::Counted::new(&count);
         let core = core.clone();
         tokio::task::spawn_local(async move {
             let _counted = counted;
--- a/crates/exchange/src/link/answering.rs
+++ b/crates/exchange/src/link/answering.rs
@@ -36,7 +36,7 @@
             continue;
         }
         tune(&stream);
-        let counted = limeway_line::conn::Counted::new(&count);
+        let counted = limeway_http1::conn::Counted::new(&count);
         let answer = answer.clone();
         tokio::task::spawn_local(async move {
             let _counted = counted;
--- a/crates/exchange/src/outbound.rs
+++ b/crates/exchange/src/outbound.rs
@@ -1,7 +1,7 @@
 //! Connections to servers, and one attempt at one server.
 
 use crate::clock::{now, Micros};
-use limeway_line::conn::{Broken, Conn, Reply};
+use limeway_http1::conn::{Broken, Conn, Reply};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hasher};
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -10,8 +10,8 @@
 use error_stack::{Report, ResultExt};
 use limeway_consensus::{Acceptor, Node};
 use limeway_jackfield::{Settings, VARIABLE};
-use limeway_line::http;
-use limeway_line::inbound::{Bounds, Inbound};
+use limeway_http1::http;
+use limeway_http1::inbound::{Bounds, Inbound};
 use limeway_control_plane::Event;
 use limeway_routing_config::{Op, State};
 use limeway_distribution::parcel::unseal;
@@ -217,7 +217,7 @@
         if open.get() >= ASKERS_MOST {
             continue;
         }
-        let counted = limeway_line::conn::Counted::new(&open);
+        let counted = limeway_http1::conn::Counted::new(&open);
         let edge = edge.clone();
         tokio::task::spawn_local(async move {
             let _counted = counted;
--- a/crates/exchange/src/wanted.rs
+++ b/crates/exchange/src/wanted.rs
@@ -3,9 +3,9 @@
 use crate::clock::{draw, Micros};
 use crate::edge::Edge;
 use crate::outbound::Parcel;
-use limeway_line::conn::Reply;
-use limeway_line::http;
-use limeway_line::inbound::Message;
+use limeway_http1::conn::Reply;
+use limeway_http1::http;
+use limeway_http1::inbound::Message;
 use limeway_routing_config::plan::{Route, Tenant};
 use std::io::Write;
 use std::rc::Rc;
--- a/crates/limeway/src/lib.rs
+++ b/crates/limeway/src/lib.rs
@@ -7,12 +7,12 @@
 
 pub mod clients;
 pub mod config;
-pub use limeway_line::conn;
+pub use limeway_http1::conn;
 pub mod core;
 pub mod counter;
 pub mod discovery;
 pub mod history;
-pub use limeway_line::http;
+pub use limeway_http1::http;
 pub mod members;
 pub mod peers;
 pub mod seldom;
--- a/crates/ringer/src/client.rs
+++ b/crates/ringer/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::arrivals::Chance;
 use crate::tally::End;
-use limeway_line::conn::{Conn, Reply};
+use limeway_http1::conn::{Conn, Reply};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/ringer/src/scale.rs
+++ b/crates/ringer/src/scale.rs
@@ -7,7 +7,7 @@
 use limeway_exchange::edge::Edge;
 use limeway_exchange::{clock, link};
 use limeway_jackfield::Settings;
-use limeway_line::conn::Conn;
+use limeway_http1::conn::Conn;
 use std::cell::Cell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/ringer/src/servers.rs
+++ b/crates/ringer/src/servers.rs
@@ -1,8 +1,8 @@
 //! Stand-in servers: so many requests at once, a short queue, work that takes time by chance, and life ids.
 
 use crate::arrivals::Chance;
-use limeway_line::http;
-use limeway_line::inbound::{Bounds, Inbound, Message};
+use limeway_http1::http;
+use limeway_http1::inbound::{Bounds, Inbound, Message};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/ringer/src/system.rs
+++ b/crates/ringer/src/system.rs
@@ -2,7 +2,7 @@
 //! stand-in servers in this one.
 
 use crate::servers::Server;
-use limeway_line::conn::Conn;
+use limeway_http1::conn::Conn;
 use std::cell::Cell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
