--- a/crates/control/routing-config/src/document.rs
+++ b/crates/control/routing-config/src/document.rs
@@ -2,7 +2,7 @@
 
 use crate::items::Entry;
 use crate::Version;
-pub use limeway_jackfield::time;
+pub use limeway_settings::time;
 use miniserde::json::{self, Number, Value};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
--- a/crates/jackfield/tests/files.rs
+++ b/crates/data/settings/tests/files.rs
@@ -1,6 +1,6 @@
 //! Settings files: what the pages show is read, and what is wrong is named.
 
-use limeway_jackfield::{time, Settings};
+use limeway_settings::{time, Settings};
 use rstest::rstest;
 
 const FILE: &str = "node-name=edge-guimaraes-s1-1\nrole=my-edge\nip-address=10.1.0.23\nzone=guimaraes-s1\n\
--- a/crates/exchange/src/core.rs
+++ b/crates/exchange/src/core.rs
@@ -4,7 +4,7 @@
 use crate::disk::Disk;
 use crate::link::{self, Links};
 use limeway_consensus::{Acceptor, Node};
-use limeway_jackfield::Settings;
+use limeway_settings::Settings;
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Action, Ask, Event, Job, Marker, Start, Token, Told};
 use limeway_routing_config::State;
--- a/crates/exchange/src/directory.rs
+++ b/crates/exchange/src/directory.rs
@@ -1,6 +1,6 @@
 //! Where a client should go: the limiters near it that can serve.
 
-use limeway_jackfield::Settings;
+use limeway_settings::Settings;
 use std::net::SocketAddrV4;
 
 /// Addresses in an answer, at most.
--- a/crates/exchange/src/edge.rs
+++ b/crates/exchange/src/edge.rs
@@ -7,7 +7,7 @@
 use crate::link::{self, Links};
 use crate::messages::{Call, Reply};
 use crate::outbound::Pools;
-use limeway_jackfield::Settings;
+use limeway_settings::Settings;
 use limeway_routing_config::Plan;
 use limeway_membership::{rank, Node, Presence};
 use limeway_load_balancing::{cold_share, Candidate, Near, Selector, Tries};
--- a/crates/exchange/src/main.rs
+++ b/crates/exchange/src/main.rs
@@ -65,13 +65,13 @@
     let (path, level, check) = match flags.subcommand {
         ExchangeCmd::Check(check) => (Some(check.path), None, true),
         ExchangeCmd::Serve(serve) => {
-            let named = || std::env::var_os(limeway_jackfield::VARIABLE).map(PathBuf::from);
+            let named = || std::env::var_os(limeway_settings::VARIABLE).map(PathBuf::from);
             (serve.settings.or_else(named), serve.log, false)
         }
     };
     log_to_stderr(level.as_deref().unwrap_or("warn"));
     let Some(path) = path else {
-        eprintln!("exchange: no settings: name a file, or set {}", limeway_jackfield::VARIABLE);
+        eprintln!("exchange: no settings: name a file, or set {}", limeway_settings::VARIABLE);
         return ExitCode::FAILURE;
     };
     let settings = match service::settings(&path) {
--- a/crates/exchange/src/service.rs
+++ b/crates/exchange/src/service.rs
@@ -9,7 +9,7 @@
 use crate::{control, link};
 use error_stack::{Report, ResultExt};
 use limeway_consensus::{Acceptor, Node};
-use limeway_jackfield::{Settings, VARIABLE};
+use limeway_settings::{Settings, VARIABLE};
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound};
 use limeway_control_plane::Event;
--- a/crates/ringer/src/scale.rs
+++ b/crates/ringer/src/scale.rs
@@ -6,7 +6,7 @@
 use crate::system::{call, settings, System};
 use limeway_exchange::edge::Edge;
 use limeway_exchange::{clock, link};
-use limeway_jackfield::Settings;
+use limeway_settings::Settings;
 use limeway_http1::conn::Conn;
 use std::cell::Cell;
 use std::io;
