--- a/crates/exchange/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -2,7 +2,7 @@
 //! that clients reach, one without is a core machine.
 #![forbid(unsafe_code)]
 
-use limeway_exchange::{clock, service};
+use limeway_balancer::{clock, service};
 use log::kv::{Key, Value, VisitSource};
 use std::io::Write;
 use std::path::PathBuf;
@@ -71,7 +71,7 @@
     };
     log_to_stderr(level.as_deref().unwrap_or("warn"));
     let Some(path) = path else {
-        eprintln!("exchange: no settings: name a file, or set {}", limeway_settings::VARIABLE);
+        eprintln!("limeway-balancer: no settings: name a file, or set {}", limeway_settings::VARIABLE);
         return ExitCode::FAILURE;
     };
     let settings = match service::settings(&path) {
@@ -92,7 +92,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("exchange: runtime: {e}");
+            eprintln!("limeway-balancer: runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -103,6 +103,6 @@
 }
 
 fn fail(e: &error_stack::Report<service::StartError>) -> ExitCode {
-    eprintln!("exchange: {e:?}");
+    eprintln!("limeway-balancer: {e:?}");
     ExitCode::FAILURE
 }
--- a/crates/exchange/tests/disk.rs
+++ b/crates/balancer/tests/disk.rs
@@ -1,6 +1,6 @@
 //! The writing thread before a disk that hangs or refuses: the caller goes on, and nothing counts that may be missing.
 
-use limeway_exchange::disk::Disk;
+use limeway_balancer::disk::Disk;
 use limeway_storage::{Folder, Medium, Name, Record, StorageBackend, Vault, Votes};
 use std::future::Future;
 use std::io;
--- a/crates/exchange/tests/links.rs
+++ b/crates/balancer/tests/links.rs
@@ -1,8 +1,8 @@
 //! Links over loopback, against ends that are late, silent, cut off in the middle, or of another version.
 
 use bytes::BytesMut;
-use limeway_exchange::link::{self, Link, LinkError};
-use limeway_exchange::messages::{Call, Reply};
+use limeway_balancer::link::{self, Link, LinkError};
+use limeway_balancer::messages::{Call, Reply};
 use limeway_distribution::parcel::Want;
 use limeway_rpc::{Answerer, Body};
 use rstest::rstest;
--- a/crates/exchange/tests/outbound.rs
+++ b/crates/balancer/tests/outbound.rs
@@ -1,7 +1,7 @@
 //! One attempt at a server that answers as it should not: no answer of another request is ever taken for its own.
 
-use limeway_exchange::clock::now;
-use limeway_exchange::outbound::{Came, Parcel, Pools};
+use limeway_balancer::clock::now;
+use limeway_balancer::outbound::{Came, Parcel, Pools};
 use rstest::rstest;
 use std::cell::Cell;
 use std::io::{Read, Write};
--- a/crates/exchange/tests/system/mod.rs
+++ b/crates/balancer/tests/system/mod.rs
@@ -67,7 +67,7 @@
         std::fs::write(&path, text).expect("settings");
         let log =
             std::fs::File::options().create(true).append(true).open(self.folder.join("log")).expect("log");
-        let child = Command::new(env!("CARGO_BIN_EXE_exchange"))
+        let child = Command::new(env!("CARGO_BIN_EXE_limeway-balancer"))
             .args(["serve", "--log", "warn", "--settings"])
             .arg(&path)
             .stdin(Stdio::null())
--- a/crates/ringer/src/main.rs
+++ b/crates/ringer/src/main.rs
@@ -137,12 +137,12 @@
     println!("building exchange ...");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let built = std::process::Command::new(cargo)
-        .args(["build", "-q", "--release", "-p", "limeway-exchange"])
+        .args(["build", "-q", "--release", "-p", "limeway-balancer"])
         .status()?;
     if !built.success() {
         return Err(io::Error::other("exchange was not built"));
     }
-    Ok(PathBuf::from("target/release/exchange"))
+    Ok(PathBuf::from("target/release/limeway-balancer"))
 }
 
 async fn scale(flags: Scale) -> io::Result<()> {
--- a/crates/ringer/src/scale.rs
+++ b/crates/ringer/src/scale.rs
@@ -4,8 +4,8 @@
 
 use crate::slopes::configuration;
 use crate::system::{call, settings, System};
-use limeway_exchange::edge::Edge;
-use limeway_exchange::{clock, link};
+use limeway_balancer::edge::Edge;
+use limeway_balancer::{clock, link};
 use limeway_settings::Settings;
 use limeway_http1::conn::Conn;
 use std::cell::Cell;
