--- a/crates/limeway/src/main.rs
+++ b/crates/gateway/gateway/src/main.rs
@@ -11,7 +11,7 @@
         Ok(runtime) => runtime,
         Err(e) => return fail(format!("runtime: {e}")),
     };
-    match LocalSet::new().block_on(&runtime, limeway::service::serve()) {
+    match LocalSet::new().block_on(&runtime, limeway_gateway::service::serve()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(e),
     }
--- a/crates/kit/src/daemon.rs
+++ b/crates/kit/src/daemon.rs
@@ -6,6 +6,8 @@
 
 /// Name of the program.
 const PROGRAM: &str = "limeway";
+/// The package that holds it.
+const PACKAGE: &str = "limeway-gateway";
 
 /// The program to rehearse: the one named, else the one that cargo builds from this checkout, else the one beside the
 /// kit's own.
@@ -42,7 +44,7 @@
         "build",
         "--locked",
         "-p",
-        PROGRAM,
+        PACKAGE,
         "--bin",
         PROGRAM,
         "--message-format=json-render-diagnostics",
