--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod sim;
 
 pub use judge::{Figures, Finding, Took};
-pub use pondgw::Guards;
+pub use limeway_quota_policy::Guards;
 pub use schedule::{Fault, Kind, Schedule};
 pub use shrink::{shorten, shrink};
 pub use sim::{play, play_with};
--- a/crates/drill/src/sim.rs
+++ b/crates/drill/src/sim.rs
@@ -3,7 +3,7 @@
 use crate::judge::{Account, Figures, Finding, Quota, Sent, BEYOND, CLOSE};
 use crate::schedule::{Fault, Schedule};
 use crate::{Micros, SECOND};
-use pondgw::*;
+use limeway_quota_policy::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/gateway/gateway/src/clients.rs
+++ b/crates/gateway/gateway/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::http::{self, Body, Framing, Head, HttpError};
 use crate::servers::Forward;
 use bytes::BytesMut;
-use pondgw::{Demand, Effect, Setup};
+use limeway_quota_policy::{Demand, Effect, Setup};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/crates/gateway/gateway/src/config.rs
+++ b/crates/gateway/gateway/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::members::List;
 use limeway_operator::Operator;
-use pondgw::Setup;
+use limeway_quota_policy::Setup;
 use serde::Deserialize;
 use std::fmt;
 use std::io::Read;
--- a/crates/gateway/gateway/src/core.rs
+++ b/crates/gateway/gateway/src/core.rs
@@ -11,7 +11,7 @@
 use crate::servers::{self, Ended, Forward, Pools, Served};
 use limeway_history::What;
 use limeway_operator::InTrouble;
-use pondgw::*;
+use limeway_quota_policy::*;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
--- a/crates/gateway/gateway/src/counter.rs
+++ b/crates/gateway/gateway/src/counter.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter.
 
 use crate::conn::{Broken, Conn, Reply};
-use pondgw::{Micros, Status};
+use limeway_quota_policy::{Micros, Status};
 use std::cell::{Cell, RefCell};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/gateway/gateway/src/discovery.rs
+++ b/crates/gateway/gateway/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::conn::{Conn, Reply};
 use crate::members::List;
 use crate::seldom::Seldom;
-use pondgw::ListKind;
+use limeway_quota_policy::ListKind;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/gateway/gateway/src/servers.rs
+++ b/crates/gateway/gateway/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::conn::{Broken, Conn, Reply};
 use crate::members::{Health, List};
 use crate::seldom::Seldom;
-use pondgw::{Entry, Lifecycle, ListKind, Micros, ServerId, Setup, Status};
+use limeway_quota_policy::{Entry, Lifecycle, ListKind, Micros, ServerId, Setup, Status};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/pondgw/src/lib.rs
+++ b/crates/gateway/quota-policy/src/lib.rs
@@ -7,7 +7,7 @@
 //! socket: the host hands it [`Event`]s with the time and carries out the [`Action`]s.
 //!
 //! ```
-//! use pondgw::*;
+//! use limeway_quota_policy::*;
 //!
 //! let settings = Settings {
 //!     gateways: 1, me: 0, zone: 0, round: 1_000, ask: false, max_units: 1.0,
--- a/crates/pondgw/tests/combinations.rs
+++ b/crates/gateway/quota-policy/tests/combinations.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 
 #[test]
 fn a_flood_while_the_counter_is_silent_leaves_the_others_their_reserve() {
--- a/crates/pondgw/tests/common/mod.rs
+++ b/crates/gateway/quota-policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A scripted host: it hands events to one gateway and keeps what the gateway asks for.
 #![allow(dead_code)]
 
-use pondgw::*;
+use limeway_quota_policy::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/pondgw/tests/escrow.rs
+++ b/crates/gateway/quota-policy/tests/escrow.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 
 /// A life after which a gateway has earned its whole split: one that has just started cannot know what it spent before.
 const AGED: Micros = 30 * S;
--- a/crates/pondgw/tests/fleet.rs
+++ b/crates/gateway/quota-policy/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 use std::rc::Rc;
 
 /// Settings of one of many gateways that may talk.
--- a/crates/pondgw/tests/guards.rs
+++ b/crates/gateway/quota-policy/tests/guards.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 
 /// A request of a plan without quota is sent at once.
 fn sent_one(host: &mut Host, id: RequestId, class: usize) -> ServerId {
--- a/crates/pondgw/tests/homes.rs
+++ b/crates/gateway/quota-policy/tests/homes.rs
@@ -1,7 +1,7 @@
 //! Which homes of customers answer.
 
-use pondgw::homes::{Homes, WAIT};
-use pondgw::interface::Micros;
+use limeway_quota_policy::homes::{Homes, WAIT};
+use limeway_quota_policy::interface::Micros;
 
 const S: Micros = 1_000_000;
 
--- a/crates/pondgw/tests/properties.rs
+++ b/crates/gateway/quota-policy/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/kit/src/quotas.rs
+++ b/crates/kit/src/quotas.rs
@@ -9,7 +9,7 @@
     let largest = run.tries.iter().map(|t| t.units).fold(1.0, f64::max);
     let windows = |customer: u64, plan: usize| {
         let figures = &run.opening.plans[plan];
-        let plain = pondgw::Plan {
+        let plain = limeway_quota_policy::Plan {
             rate: figures.rate,
             burst: figures.burst,
             open: 0.0,
@@ -18,7 +18,7 @@
             ceiling_burst: figures.ceiling_burst,
             ceiling_slack: figures.ceiling_slack,
         };
-        let w = pondgw::Windows::of(&plain, largest, &format!("{customer:016x}"), plan);
+        let w = limeway_quota_policy::Windows::of(&plain, largest, &format!("{customer:016x}"), plan);
         Windows { length: w.length, phase: w.phase, budget: w.reach }
     };
     let limited = |p: &Passed| run.opening.plans[p.plan].rate > 0.0;
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -1,7 +1,7 @@
 //! Parses the wire's lines into events and writes actions back; it decides nothing.
 
 use base64::prelude::*;
-use pondgw::*;
+use limeway_quota_policy::*;
 use serde_json::Value;
 use std::collections::HashMap;
 use std::fmt::Write;
