--- a/crates/recovery/tests/history.rs
+++ b/crates/gateway/counter-recovery/tests/history.rs
@@ -1,6 +1,6 @@
 //! What the history tells, case by case, and properties over many limiters on one counter that is replaced.
 
-use limeway_recovery::*;
+use limeway_counter_recovery::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/recovery/tests/standing.rs
+++ b/crates/gateway/counter-recovery/tests/standing.rs
@@ -1,9 +1,9 @@
 //! Marks, words and shares: what another limiter may hold of one that is cut off, and what bytes may do.
 
-use limeway_recovery::presence::{Presence, SLOT};
-use limeway_recovery::standing::{Doors, Standing, Use};
-use limeway_recovery::word::{part, Entry, Word, ENTRIES_MOST};
-use limeway_recovery::{Answer, Micros};
+use limeway_counter_recovery::presence::{Presence, SLOT};
+use limeway_counter_recovery::standing::{Doors, Standing, Use};
+use limeway_counter_recovery::word::{part, Entry, Word, ENTRIES_MOST};
+use limeway_counter_recovery::{Answer, Micros};
 use proptest::prelude::*;
 
 const DOORS: Doors = Doors { first: Some(0), number: 3 };
--- a/crates/gateway/quota-policy/src/lib.rs
+++ b/crates/gateway/quota-policy/src/lib.rs
@@ -49,7 +49,7 @@
 mod state;
 
 pub use interface::*;
-pub use limeway_recovery::Guards;
+pub use limeway_counter_recovery::Guards;
 pub use rules::{Gateway, Windows};
 pub use setup::{Setup, SetupError};
 pub use state::presence_name;
--- a/crates/gateway/quota-policy/src/rules.rs
+++ b/crates/gateway/quota-policy/src/rules.rs
@@ -15,7 +15,7 @@
 use escrow::note;
 use limeway_leasing::Door;
 use limeway_pacing::{Bucket, Pacer};
-use limeway_recovery::{standing::Doors, word, Answer, Count, Guards, Recovery, State, Verdict};
+use limeway_counter_recovery::{standing::Doors, word, Answer, Count, Guards, Recovery, State, Verdict};
 use limeway_warmup::Start;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/gateway/quota-policy/src/state.rs
+++ b/crates/gateway/quota-policy/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::*;
 use limeway_pacing::Bucket;
-use limeway_recovery::standing::{Doors, Use};
+use limeway_counter_recovery::standing::{Doors, Use};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::Hasher;
