--- a/crates/leasing/tests/ahead.rs
+++ b/crates/gateway/lease-sizing/tests/ahead.rs
@@ -1,6 +1,6 @@
 //! What is leased ahead: by recent use, out of what is spare, in time; and never at the cost of the other doors.
 
-use limeway_leasing::{Door, KEPT};
+use limeway_lease_sizing::{Door, KEPT};
 use proptest::prelude::*;
 
 /// A door half way through a window of 4 s, with twenty units used in the last one, and a store that is full.
--- a/crates/gateway/quota-policy/src/rules.rs
+++ b/crates/gateway/quota-policy/src/rules.rs
@@ -13,7 +13,7 @@
 use crate::state::*;
 use attempts::set_alarm;
 use escrow::note;
-use limeway_leasing::Door;
+use limeway_lease_sizing::Door;
 use limeway_pacing::{Bucket, Pacer};
 use limeway_counter_recovery::{standing::Doors, word, Answer, Count, Guards, Recovery, State, Verdict};
 use limeway_warmup::Start;
