--- a/crates/gateway/quota-policy/src/interface.rs
+++ b/crates/gateway/quota-policy/src/interface.rs
@@ -72,9 +72,9 @@
     }
 
     /// The hard ceiling.
-    pub fn ceiling(&self) -> limeway_ceiling::Ceiling {
+    pub fn ceiling(&self) -> limeway_rate_limit::Ceiling {
         let (rate, burst, tolerance) = (self.ceiling_rate, self.ceiling_burst, self.ceiling_slack);
-        limeway_ceiling::Ceiling { rate, burst, tolerance }
+        limeway_rate_limit::Ceiling { rate, burst, tolerance }
     }
 }
 
--- a/crates/ceiling/tests/bound.rs
+++ b/crates/gateway/rate-limit/tests/bound.rs
@@ -1,6 +1,6 @@
 //! The sum over all doors stays under the ceiling, whatever each of them does with what it may take.
 
-use limeway_ceiling::{Ceiling, Micros, Span};
+use limeway_rate_limit::{Ceiling, Micros, Span};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
