--- a/crates/pacing/tests/fleet.rs
+++ b/crates/gateway/call-pacing/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Many limiters on one counter that bears a stated number of calls a second: what they send together, and how soon.
 
-use limeway_pacing::*;
+use limeway_call_pacing::*;
 use std::collections::VecDeque;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/gateway/quota-policy/src/state.rs
+++ b/crates/gateway/quota-policy/src/state.rs
@@ -1,7 +1,7 @@
 //! Plain types that the module keeps its state in, and what gateways tell each other. Nothing here decides.
 
 use crate::interface::*;
-use limeway_pacing::Bucket;
+use limeway_call_pacing::Bucket;
 use limeway_counter_recovery::standing::{Doors, Use};
 use siphasher::sip::SipHasher13;
 use std::collections::{BTreeMap, VecDeque};
