--- a/crates/gateway/quota-policy/src/interface.rs
+++ b/crates/gateway/quota-policy/src/interface.rs
@@ -119,9 +119,9 @@
 
 impl Rules {
     /// What they say of servers that have just started.
-    pub fn start(&self) -> limeway_warmup::Start {
+    pub fn start(&self) -> limeway_slow_start::Start {
         let Rules { cold, cold_from: from, fall, fall_multiple: multiple, .. } = *self;
-        limeway_warmup::Start { cold, from, fall, multiple }
+        limeway_slow_start::Start { cold, from, fall, multiple }
     }
 }
 
--- a/crates/gateway/quota-policy/src/rules.rs
+++ b/crates/gateway/quota-policy/src/rules.rs
@@ -16,7 +16,7 @@
 use limeway_lease_sizing::Door;
 use limeway_call_pacing::{Bucket, Pacer};
 use limeway_counter_recovery::{standing::Doors, word, Answer, Count, Guards, Recovery, State, Verdict};
-use limeway_warmup::Start;
+use limeway_slow_start::Start;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time between two sweeps while anything is held, in microseconds: fine beside aims of some 100 ms.
--- a/crates/warmup/tests/fleet.rs
+++ b/crates/gateway/slow-start/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The sum over all limiters of what a cold server is sent: never near what knocks it over, and all that it can do.
 
-use limeway_warmup::{Micros, Start};
+use limeway_slow_start::{Micros, Start};
 use proptest::prelude::*;
 
 /// Sends of all limiters to one server that started at 0, of `servers` of which a part started with it; each limiter sends
