--- a/crates/gateway/gateway/src/config.rs
+++ b/crates/gateway/gateway/src/config.rs
@@ -1,7 +1,7 @@
 //! The JSON configuration and the environment, checked; each error names its key.
 
 use crate::members::List;
-use limeway_operator::Operator;
+use limeway_operator_config::Operator;
 use limeway_quota_policy::Setup;
 use serde::Deserialize;
 use std::fmt;
@@ -119,7 +119,7 @@
     // One byte beyond what may be: guards against reading a file without end.
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| bad(&e))?;
-    file.take(limeway_operator::BYTES_MOST as u64 + 1).read_to_string(&mut text).map_err(|e| bad(&e))?;
+    file.take(limeway_operator_config::BYTES_MOST as u64 + 1).read_to_string(&mut text).map_err(|e| bad(&e))?;
     Operator::read(&text).map_err(|e| bad(&e))
 }
 
--- a/crates/gateway/gateway/src/core.rs
+++ b/crates/gateway/gateway/src/core.rs
@@ -10,7 +10,7 @@
 use crate::seldom::Seldom;
 use crate::servers::{self, Ended, Forward, Pools, Served};
 use limeway_history::What;
-use limeway_operator::InTrouble;
+use limeway_operator_config::InTrouble;
 use limeway_quota_policy::*;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
--- a/crates/gateway/gateway/src/history.rs
+++ b/crates/gateway/gateway/src/history.rs
@@ -2,7 +2,7 @@
 //! so that the histories of several limiters of one machine can be put together.
 
 use limeway_history::{History, What};
-use limeway_operator::History as Settings;
+use limeway_operator_config::History as Settings;
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::RefCell;
 use std::fs::{File, OpenOptions};
--- a/crates/operator/src/lib.rs
+++ b/crates/gateway/operator-config/src/lib.rs
@@ -5,7 +5,7 @@
 //! subsystem has a section of its own and hangs it in [`Operator`].
 //!
 //! ```
-//! use limeway_operator::{InTrouble, Operator};
+//! use limeway_operator_config::{InTrouble, Operator};
 //!
 //! let file = "version = 1\n[counter]\nin-trouble = \"shares\"\n";
 //! assert_eq!(Operator::read(file).unwrap().counter.in_trouble, InTrouble::Shares);
--- a/crates/operator/tests/files.rs
+++ b/crates/gateway/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
 //! A table of faulty files with what is said of each, and bytes that may not harm.
 
-use limeway_operator::{InTrouble, Operator, BYTES_MOST};
+use limeway_operator_config::{InTrouble, Operator, BYTES_MOST};
 use proptest::prelude::*;
 
 #[test]
@@ -59,7 +59,7 @@
             "{text:?}"
         );
     }
-    let shipped = include_str!("../../../deploy/limeway.toml");
+    let shipped = include_str!("../../../../deploy/limeway.toml");
     assert_eq!(Operator::read(shipped).expect("the file that ships").counter, Operator::default().counter);
 }
 
