--- a/crates/history/src/lib.rs
+++ b/crates/gateway/event-log/src/lib.rs
@@ -5,7 +5,7 @@
 //! to hold a second definition of each. Free of I/O but for the writer that it is given, and of clocks.
 //!
 //! ```
-//! use limeway_history::{read, History, What};
+//! use limeway_event_log::{read, History, What};
 //!
 //! let mut history = History::new(Vec::new(), 10);
 //! history.add(5, What::Ready).unwrap();
--- a/crates/history/tests/lines.rs
+++ b/crates/gateway/event-log/tests/lines.rs
@@ -1,6 +1,6 @@
 //! Lines survive being written and read, deaths in the middle of one, and a full file.
 
-use limeway_history::{read, History, What};
+use limeway_event_log::{read, History, What};
 use std::io::{Error, Write};
 
 fn all() -> Vec<What> {
--- a/crates/gateway/gateway/src/core.rs
+++ b/crates/gateway/gateway/src/core.rs
@@ -9,7 +9,7 @@
 use crate::peers::Peers;
 use crate::seldom::Seldom;
 use crate::servers::{self, Ended, Forward, Pools, Served};
-use limeway_history::What;
+use limeway_event_log::What;
 use limeway_operator_config::InTrouble;
 use limeway_quota_policy::*;
 use std::cell::{Cell, RefCell};
--- a/crates/gateway/gateway/src/history.rs
+++ b/crates/gateway/gateway/src/history.rs
@@ -1,7 +1,7 @@
 //! The limiter's own history in a file, where the operators want one: what matters, with the machine's monotonic clock,
 //! so that the histories of several limiters of one machine can be put together.
 
-use limeway_history::{History, What};
+use limeway_event_log::{History, What};
 use limeway_operator_config::History as Settings;
 use rustix::time::{clock_gettime, ClockId};
 use std::cell::RefCell;
--- a/crates/gateway/gateway/src/service.rs
+++ b/crates/gateway/gateway/src/service.rs
@@ -8,7 +8,7 @@
 use crate::history::Told;
 use crate::peers::Peers;
 use crate::servers::Pools;
-use limeway_history::What;
+use limeway_event_log::What;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
--- a/crates/kit/src/histories.rs
+++ b/crates/kit/src/histories.rs
@@ -1,7 +1,7 @@
 //! Limiters' own histories: asked for by the operators' file, and put into the ledger's time.
 
 use crate::KitError;
-use limeway_history::read;
+use limeway_event_log::read;
 use limeway_standins::Clock;
 use limeway_verdict::ledger::Record;
 use rustix::time::{clock_gettime, ClockId};
--- a/crates/kit/tests/fleet.rs
+++ b/crates/kit/tests/fleet.rs
@@ -6,7 +6,7 @@
 
 use common::limeway;
 use limeway_faults::What;
-use limeway_history::What as Said;
+use limeway_event_log::What as Said;
 use limeway_kit::nemesis::{play, timeline, Options, Outcome};
 use limeway_kit::quotas;
 use limeway_scenario::nemesis::Schedule;
--- a/crates/verdict/src/aftermath.rs
+++ b/crates/verdict/src/aftermath.rs
@@ -3,7 +3,7 @@
 use crate::ledger::Micros;
 use crate::run::Run;
 use crate::service::groups;
-use limeway_history::What;
+use limeway_event_log::What;
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 
--- a/crates/verdict/src/ledger.rs
+++ b/crates/verdict/src/ledger.rs
@@ -381,7 +381,7 @@
         /// Which.
         limiter: u32,
         /// What.
-        what: limeway_history::What,
+        what: limeway_event_log::What,
     },
     /// What a limiter has used since its process was started.
     Usage {
--- a/crates/verdict/src/run.rs
+++ b/crates/verdict/src/run.rs
@@ -153,7 +153,7 @@
     /// Messages that were delivered.
     pub messages: u64,
     /// What limiters wrote down themselves, by time: when, which, what.
-    pub said: Vec<(Micros, u32, limeway_history::What)>,
+    pub said: Vec<(Micros, u32, limeway_event_log::What)>,
     /// The timeline: when, what, and whether it begins.
     pub troubles: Vec<(Micros, String, bool)>,
     /// The last line, if the ledger has one.
--- a/crates/verdict/tests/aftermath.rs
+++ b/crates/verdict/tests/aftermath.rs
@@ -1,6 +1,6 @@
 //! Histories by hand: each that breaks a promise about faults is convicted, and its twin that keeps it is not.
 
-use limeway_history::What;
+use limeway_event_log::What;
 use limeway_verdict::aftermath::{aftermath, agreement, Aftermath};
 use limeway_verdict::ledger::*;
 use limeway_verdict::run::Run;
