--- a/crates/simhost/src/main.rs
+++ b/crates/gateway/simulator-adapter/src/main.rs
@@ -18,7 +18,7 @@
             None => Ok(()),
         });
         if let Err(reason) = sent {
-            eprintln!("pondgw-simhost: line {number}: {reason}");
+            eprintln!("limeway-simulator-adapter: line {number}: {reason}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/gateway/simulator-adapter/tests/wire.rs
@@ -11,7 +11,7 @@
 "round":4000,"rules":{"cold":9000000,"cold-from":0.3,"fall":1000000,"fall-multiple":3.0},"zone":"a"}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pondgw-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_limeway-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
