--- a/crates/rig/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! The simulator's command line.
 #![forbid(unsafe_code)]
 
-use limeway_rig::{off, play, Off, Schedule};
+use limeway_simulation::{off, play, Off, Schedule};
 use std::process::ExitCode;
 
 /// Schedules that `digest` plays where nothing is said.
@@ -55,7 +55,7 @@
     let Some(name) = name else { return Some(Off::Nothing) };
     let found = off::ALL.into_iter().find(|o| format!("{o:?}") == name);
     if found.is_none() {
-        eprintln!("rig: no such guard; there are {:?}", off::ALL);
+        eprintln!("limeway-simulation: no such guard; there are {:?}", off::ALL);
     }
     found
 }
--- a/crates/rig/tests/schedules.rs
+++ b/crates/testing/simulation/tests/schedules.rs
@@ -1,7 +1,7 @@
 //! Hundreds of schedules, all different: nothing acknowledged is lost, nothing is held twice, everyone comes back.
 
-use limeway_rig::schedule::{Fault, Timed};
-use limeway_rig::{play, Off, Schedule, SECOND};
+use limeway_simulation::schedule::{Fault, Timed};
+use limeway_simulation::{play, Off, Schedule, SECOND};
 use rstest::rstest;
 
 /// Threads a test plays with.
