--- a/crates/ringer/src/main.rs
+++ b/crates/testing/load-generator/src/main.rs
@@ -1,10 +1,10 @@
 //! The load generator's command line.
 #![forbid(unsafe_code)]
 
-use limeway_ringer::arrivals::{Arrivals, Shape};
-use limeway_ringer::client::{Class, Clients};
-use limeway_ringer::system::{System, ZONES};
-use limeway_ringer::tally::{Account, End};
+use limeway_load_generator::arrivals::{Arrivals, Shape};
+use limeway_load_generator::client::{Class, Clients};
+use limeway_load_generator::system::{System, ZONES};
+use limeway_load_generator::tally::{Account, End};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -146,13 +146,13 @@
 }
 
 async fn scale(flags: Scale) -> io::Result<()> {
-    let size = limeway_ringer::scale::Size {
+    let size = limeway_load_generator::scale::Size {
         limiters: flags.limiters.unwrap_or(670),
         servers: flags.servers.unwrap_or(2_700),
         routes: flags.routes.unwrap_or(500),
         tenants: flags.tenants.unwrap_or(1_000),
     };
-    limeway_ringer::scale::run(&program(flags.program)?, size).await
+    limeway_load_generator::scale::run(&program(flags.program)?, size).await
 }
 
 async fn demo(flags: Demo) -> io::Result<()> {
@@ -252,7 +252,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("ringer: runtime: {e}");
+            eprintln!("limeway-load: runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -262,7 +262,7 @@
             RingerCmd::Load(flags) => load(flags).await,
             RingerCmd::Scale(flags) => scale(flags).await,
             RingerCmd::Slopes(_) => {
-                limeway_ringer::slopes::measure().iter().for_each(|row| println!("{row}"));
+                limeway_load_generator::slopes::measure().iter().for_each(|row| println!("{row}"));
                 Ok(())
             }
         }
@@ -270,7 +270,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("ringer: {e}");
+            eprintln!("limeway-load: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ringer/tests/capacity.rs
+++ b/crates/testing/load-generator/tests/capacity.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn every_line_gives_its_result() {
-    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/CAPACITY.md");
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../../docs/CAPACITY.md");
     let page = std::fs::read_to_string(path).expect("the page");
     let block =
         page.split("```arithmetic\n").nth(1).and_then(|rest| rest.split("```").next()).expect("the block");
--- a/crates/ringer/tests/law.rs
+++ b/crates/testing/load-generator/tests/law.rs
@@ -1,7 +1,7 @@
 //! Arrivals follow their law, and a stall is not hidden.
 
-use limeway_ringer::arrivals::{Arrivals, Shape};
-use limeway_ringer::tally::{Account, End};
+use limeway_load_generator::arrivals::{Arrivals, Shape};
+use limeway_load_generator::tally::{Account, End};
 use rstest::rstest;
 
 const SECOND: u64 = 1_000_000;
