--- a/crates/kit/src/main.rs
+++ b/crates/testing/rehearsal/src/main.rs
@@ -5,9 +5,9 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use limeway_drill::{Guards, Kind};
-use limeway_kit::fleet::READY_MOST;
-use limeway_kit::rehearsal::{interrupted, rehearse, Plan, Played, Progress};
-use limeway_kit::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
+use limeway_rehearsal::fleet::READY_MOST;
+use limeway_rehearsal::rehearsal::{interrupted, rehearse, Plan, Played, Progress};
+use limeway_rehearsal::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
 use limeway_scenario::nemesis::{Schedule, CASES};
 use limeway_scenario::{builtin, builtins, draw, Day, Scenario};
 use limeway_verdict::ledger::{Change, Record};
@@ -28,7 +28,7 @@
 const QUOTAS_NOTED: f64 = 1.0;
 
 #[derive(Parser)]
-#[command(name = "limeway-kit", version, about = "Rehearses bad days with the limiter that ships")]
+#[command(name = "limeway-rehearsal", version, about = "Rehearses bad days with the limiter that ships")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -217,7 +217,7 @@
     match done {
         Ok(code) => ExitCode::from(code),
         Err(e) => {
-            eprintln!("limeway-kit: {e}");
+            eprintln!("limeway-rehearsal: {e}");
             ExitCode::from(CANNOT)
         }
     }
--- a/crates/kit/tests/command.rs
+++ b/crates/testing/rehearsal/tests/command.rs
@@ -8,7 +8,7 @@
 const LONG: Duration = Duration::from_secs(60);
 
 fn kit(args: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_limeway-kit"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_limeway-rehearsal"));
     command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
     command
 }
--- a/crates/kit/tests/common/mod.rs
+++ b/crates/testing/rehearsal/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Short rehearsals for tests.
 #![allow(dead_code)] // Each test file uses its own part of this.
 
-use limeway_kit::rehearsal::{rehearse, Plan, Played};
-use limeway_kit::{daemon, KitError};
+use limeway_rehearsal::rehearsal::{rehearse, Plan, Played};
+use limeway_rehearsal::{daemon, KitError};
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Scenario};
 use limeway_verdict::{judge, Verdict};
--- a/crates/kit/tests/quotas.rs
+++ b/crates/testing/rehearsal/tests/quotas.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use limeway_kit::quotas;
-use limeway_kit::rehearsal::{rehearse, Plan};
+use limeway_rehearsal::quotas;
+use limeway_rehearsal::rehearsal::{rehearse, Plan};
 use limeway_scenario::file::Span;
 use std::time::Duration;
 
--- a/crates/kit/tests/rehearsals.rs
+++ b/crates/testing/rehearsal/tests/rehearsals.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use limeway_kit::fleet::Fleet;
-use limeway_kit::KitError;
+use limeway_rehearsal::fleet::Fleet;
+use limeway_rehearsal::KitError;
 use limeway_standins::World;
 use limeway_verdict::ledger::{Change, Left, Record};
 use limeway_verdict::Verdict;
--- a/crates/kit/tests/rogue.rs
+++ b/crates/testing/rehearsal/tests/rogue.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use limeway_kit::{nemesis, KitError};
+use limeway_rehearsal::{nemesis, KitError};
 use limeway_scenario::file::Span;
 use limeway_scenario::Scenario;
 use std::path::PathBuf;
