--- a/crates/drill/tests/bounds.rs
+++ b/crates/testing/gateway-simulation/tests/bounds.rs
@@ -1,7 +1,7 @@
 //! Seeded days of each kind stay within what is stated, and each guard is needed: with it taken out, a day shows
 //! use beyond a window's budget where there was none.
 
-use limeway_drill::{play, play_with, shrink, Fault, Figures, Finding, Guards, Kind, Schedule};
+use limeway_gateway_simulation::{play, play_with, shrink, Fault, Figures, Finding, Guards, Kind, Schedule};
 
 /// Days of each kind here; `limeway-kit drill` plays any number.
 const DAYS: u64 = 30;
--- a/crates/testing/rehearsal/src/drill.rs
+++ b/crates/testing/rehearsal/src/drill.rs
@@ -2,7 +2,7 @@
 
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
-use limeway_drill::{play_with, shrink, Figures, Finding, Guards, Kind, Schedule, Took};
+use limeway_gateway_simulation::{play_with, shrink, Figures, Finding, Guards, Kind, Schedule, Took};
 use rayon::prelude::*;
 use std::fmt::Write;
 
--- a/crates/testing/rehearsal/src/main.rs
+++ b/crates/testing/rehearsal/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use limeway_drill::{Guards, Kind};
+use limeway_gateway_simulation::{Guards, Kind};
 use limeway_rehearsal::fleet::READY_MOST;
 use limeway_rehearsal::rehearsal::{interrupted, rehearse, Plan, Played, Progress};
 use limeway_rehearsal::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
--- a/crates/testing/rehearsal/src/nemesis.rs
+++ b/crates/testing/rehearsal/src/nemesis.rs
@@ -174,7 +174,7 @@
         let played = runtime.block_on(play(options, &less, seed, std::future::pending()));
         played.is_ok_and(|(outcome, _)| outcome.verdict.void.is_none() && !outcome.failures().is_empty())
     };
-    Schedule { event: limeway_drill::shorten(&schedule.event, PLAYS_MOST, fails) }
+    Schedule { event: limeway_gateway_simulation::shorten(&schedule.event, PLAYS_MOST, fails) }
 }
 
 /// When something came, as text.
