--- a/crates/testing/rehearsal/src/fleet.rs
+++ b/crates/testing/rehearsal/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The limiters' processes: start, signals, unexpected ends, what they use.
 
 use crate::KitError;
-use limeway_standins::book::lock;
-use limeway_standins::clients::Seen;
-use limeway_standins::World;
+use limeway_test_services::book::lock;
+use limeway_test_services::clients::Seen;
+use limeway_test_services::World;
 use limeway_verdict::ledger::{Change, Micros, Record};
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File, OpenOptions};
--- a/crates/testing/rehearsal/src/histories.rs
+++ b/crates/testing/rehearsal/src/histories.rs
@@ -2,7 +2,7 @@
 
 use crate::KitError;
 use limeway_event_log::read;
-use limeway_standins::Clock;
+use limeway_test_services::Clock;
 use limeway_verdict::ledger::Record;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs;
--- a/crates/testing/rehearsal/tests/rehearsals.rs
+++ b/crates/testing/rehearsal/tests/rehearsals.rs
@@ -5,7 +5,7 @@
 use common::*;
 use limeway_rehearsal::fleet::Fleet;
 use limeway_rehearsal::KitError;
-use limeway_standins::World;
+use limeway_test_services::World;
 use limeway_verdict::ledger::{Change, Left, Record};
 use limeway_verdict::Verdict;
 
--- a/crates/standins/tests/engine.rs
+++ b/crates/testing/test-services/tests/engine.rs
@@ -1,7 +1,7 @@
 //! The inside of a call node: sharing, waiting, thrash, warming up.
 
 use limeway_scenario::{Micros, NodeSpec};
-use limeway_standins::engine::{Engine, Pressure};
+use limeway_test_services::engine::{Engine, Pressure};
 
 fn spec() -> NodeSpec {
     NodeSpec {
--- a/crates/standins/tests/promises.rs
+++ b/crates/testing/test-services/tests/promises.rs
@@ -2,8 +2,8 @@
 
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Day, Scenario};
-use limeway_standins::book::{digest, Sent};
-use limeway_standins::{Mode, World};
+use limeway_test_services::book::{digest, Sent};
+use limeway_test_services::{Mode, World};
 use limeway_verdict::ledger::{Fate, Health, Record};
 use std::net::SocketAddr;
 use std::sync::Arc;
