--- a/crates/verdict/tests/rules.rs
+++ b/crates/testing/checker/tests/rules.rs
@@ -1,7 +1,7 @@
 //! For each rule, a ledger by hand that breaks it by the least possible, and its twin that just keeps it.
 
-use limeway_verdict::ledger::*;
-use limeway_verdict::{judge, Verdict};
+use limeway_checker::ledger::*;
+use limeway_checker::{judge, Verdict};
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
--- a/crates/testing/rehearsal/src/fleet.rs
+++ b/crates/testing/rehearsal/src/fleet.rs
@@ -4,7 +4,7 @@
 use limeway_test_services::book::lock;
 use limeway_test_services::clients::Seen;
 use limeway_test_services::World;
-use limeway_verdict::ledger::{Change, Micros, Record};
+use limeway_checker::ledger::{Change, Micros, Record};
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File, OpenOptions};
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/histories.rs
+++ b/crates/testing/rehearsal/src/histories.rs
@@ -3,7 +3,7 @@
 use crate::KitError;
 use limeway_event_log::read;
 use limeway_test_services::Clock;
-use limeway_verdict::ledger::Record;
+use limeway_checker::ledger::Record;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/html.rs
+++ b/crates/testing/rehearsal/src/html.rs
@@ -1,9 +1,9 @@
 //! A verdict as one HTML page that needs nothing else: the tables, and charts as SVG with the troubles marked.
 
-use limeway_verdict::ledger::Micros;
-use limeway_verdict::run::Run;
-use limeway_verdict::series::{seconds, spans, Second};
-use limeway_verdict::Verdict;
+use limeway_checker::ledger::Micros;
+use limeway_checker::run::Run;
+use limeway_checker::series::{seconds, spans, Second};
+use limeway_checker::Verdict;
 use plotters::prelude::*;
 use std::fmt::Write;
 
--- a/crates/testing/rehearsal/src/main.rs
+++ b/crates/testing/rehearsal/src/main.rs
@@ -10,9 +10,9 @@
 use limeway_rehearsal::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
 use limeway_scenario::nemesis::{Schedule, CASES};
 use limeway_scenario::{builtin, builtins, draw, Day, Scenario};
-use limeway_verdict::ledger::{Change, Record};
-use limeway_verdict::run::Run;
-use limeway_verdict::{judge_run, Verdict};
+use limeway_checker::ledger::{Change, Record};
+use limeway_checker::run::Run;
+use limeway_checker::{judge_run, Verdict};
 use std::fs;
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/measure.rs
+++ b/crates/testing/rehearsal/src/measure.rs
@@ -7,8 +7,8 @@
 use comfy_table::Table;
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Scenario};
-use limeway_verdict::judge_run;
-use limeway_verdict::ledger::Closing;
+use limeway_checker::judge_run;
+use limeway_checker::ledger::Closing;
 use serde::Serialize;
 use std::path::Path;
 
@@ -107,7 +107,7 @@
     };
     let c = run.closing.clone().unwrap_or(none);
     let (s, limiters) = (&verdict.service, &verdict.limiters);
-    let sum = |of: &dyn Fn(&limeway_verdict::service::Cost) -> f64| limiters.iter().map(of).sum::<f64>();
+    let sum = |of: &dyn Fn(&limeway_checker::service::Cost) -> f64| limiters.iter().map(of).sum::<f64>();
     let (tries, cpu) = (sum(&|l| l.tries as f64).max(1.0), sum(&|l| l.cpu_s));
     Ok(Point {
         asked: rate,
--- a/crates/testing/rehearsal/src/nemesis.rs
+++ b/crates/testing/rehearsal/src/nemesis.rs
@@ -9,10 +9,10 @@
 use limeway_scenario::file::{builtin, Entry};
 use limeway_scenario::nemesis::{self, Schedule};
 use limeway_scenario::{draw, Scenario};
-use limeway_verdict::aftermath::{aftermath, agreement, Aftermath, Agreement};
-use limeway_verdict::ledger::{Change, Micros};
-use limeway_verdict::run::Run;
-use limeway_verdict::{judge_run, Verdict};
+use limeway_checker::aftermath::{aftermath, agreement, Aftermath, Agreement};
+use limeway_checker::ledger::{Change, Micros};
+use limeway_checker::run::Run;
+use limeway_checker::{judge_run, Verdict};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::future::Future;
@@ -272,7 +272,7 @@
         }
         let _ = writeln!(out, "limiter {limiter:>3} |{}|", row.into_iter().collect::<String>());
     }
-    for (from, to, name) in limeway_verdict::series::spans(run) {
+    for (from, to, name) in limeway_checker::series::spans(run) {
         let mut row = vec![' '; columns];
         row[at(from)..=at(to)].fill('=');
         let _ = writeln!(out, "            |{}| {name}", row.into_iter().collect::<String>());
--- a/crates/testing/rehearsal/src/quotas.rs
+++ b/crates/testing/rehearsal/src/quotas.rs
@@ -1,7 +1,7 @@
 //! Windows of quotas that were passed in a run, as the decision module cuts them.
 
-use limeway_verdict::quota::{fullest, Passed, Windows};
-use limeway_verdict::run::Run;
+use limeway_checker::quota::{fullest, Passed, Windows};
+use limeway_checker::run::Run;
 use std::fmt::Write;
 
 /// The fullest window of each customer, those passed by most first.
--- a/crates/testing/rehearsal/src/report.rs
+++ b/crates/testing/rehearsal/src/report.rs
@@ -2,10 +2,10 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
-use limeway_verdict::ledger::Closing;
-use limeway_verdict::rules::Judged;
-use limeway_verdict::service::Service;
-use limeway_verdict::Verdict;
+use limeway_checker::ledger::Closing;
+use limeway_checker::rules::Judged;
+use limeway_checker::service::Service;
+use limeway_checker::Verdict;
 use std::fmt::Write;
 
 /// Breaks of a rule that the table shows; the JSON report holds more.
--- a/crates/testing/rehearsal/tests/common/mod.rs
+++ b/crates/testing/rehearsal/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use limeway_rehearsal::{daemon, KitError};
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Scenario};
-use limeway_verdict::{judge, Verdict};
+use limeway_checker::{judge, Verdict};
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
--- a/crates/testing/rehearsal/tests/fleet.rs
+++ b/crates/testing/rehearsal/tests/fleet.rs
@@ -10,7 +10,7 @@
 use limeway_rehearsal::nemesis::{play, timeline, Options, Outcome};
 use limeway_rehearsal::quotas;
 use limeway_scenario::nemesis::Schedule;
-use limeway_verdict::ledger::Change;
+use limeway_checker::ledger::Change;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
--- a/crates/testing/rehearsal/tests/quotas.rs
+++ b/crates/testing/rehearsal/tests/quotas.rs
@@ -41,7 +41,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let played = runtime.expect("a runtime").block_on(rehearse(plan, std::future::pending(), |_| {}));
     let run = played.expect("played").run();
-    let verdict = limeway_verdict::judge_run(&run);
+    let verdict = limeway_checker::judge_run(&run);
     assert_eq!(verdict.void, None);
     assert_eq!(broken(&verdict), [0; 0], "{:?}", verdict.rules);
     let all = quotas::passed(&run);
--- a/crates/testing/rehearsal/tests/rehearsals.rs
+++ b/crates/testing/rehearsal/tests/rehearsals.rs
@@ -6,8 +6,8 @@
 use limeway_rehearsal::fleet::Fleet;
 use limeway_rehearsal::KitError;
 use limeway_test_services::World;
-use limeway_verdict::ledger::{Change, Left, Record};
-use limeway_verdict::Verdict;
+use limeway_checker::ledger::{Change, Left, Record};
+use limeway_checker::Verdict;
 
 /// All rules pass, the run counts, and the daemon did its work.
 fn passes(verdict: &Verdict) {
@@ -27,13 +27,13 @@
     let scenario = small(10.0, events);
     let played = play_until(&scenario, limeway(), std::future::pending()).expect("played");
     let run = played.run();
-    passes(&limeway_verdict::judge_run(&run));
+    passes(&limeway_checker::judge_run(&run));
     let lives = |node: u32| run.nodes.iter().filter(|n| n.node == node).count();
     assert_eq!((lives(1), lives(3), lives(5), lives(6)), (1, 2, 1, 1), "the new one has an id of its own");
     let at = |node| run.attempts.iter().filter(|a| a.node == node).count();
     assert!(at(6) > 0, "the new node is used");
     let drained = |r: &&Record| {
-        matches!(r, Record::Told { node: 1, health: limeway_verdict::ledger::Health::Draining, .. })
+        matches!(r, Record::Told { node: 1, health: limeway_checker::ledger::Health::Draining, .. })
     };
     assert!(played.records.iter().filter(drained).count() >= 2, "both limiters were told");
 }
@@ -44,7 +44,7 @@
                   [[event]]\nat = 6\nseconds = 1\nwhat = \"limiter-kill\"\nlimiter = 1";
     let played = play_until(&small(10.0, events), limeway(), std::future::pending()).expect("played");
     let run = played.run();
-    passes(&limeway_verdict::judge_run(&run));
+    passes(&limeway_checker::judge_run(&run));
     let changes = |limiter| -> Vec<Change> {
         run.lives
             .iter()
--- a/crates/testing/rehearsal/tests/rogue.rs
+++ b/crates/testing/rehearsal/tests/rogue.rs
@@ -146,7 +146,7 @@
     let stop = async { tokio::time::sleep(Duration::from_secs(3)).await };
     let played = play_until(&small(60.0, ""), program, stop).expect("what there is");
     assert!(start.elapsed() < Duration::from_secs(30));
-    let verdict = limeway_verdict::judge_run(&played.run());
+    let verdict = limeway_checker::judge_run(&played.run());
     assert!(verdict.void.as_deref().is_some_and(|v| v.contains("broken off")), "{:?}", verdict.void);
     assert!(verdict.service.ends.asked > 10);
 }
--- a/crates/testing/test-services/src/book.rs
+++ b/crates/testing/test-services/src/book.rs
@@ -1,6 +1,6 @@
 //! The ledger in the making, the one clock, and what clients have sent.
 
-use limeway_verdict::ledger::{Micros, Record};
+use limeway_checker::ledger::{Micros, Record};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::hash::Hasher;
--- a/crates/testing/test-services/src/clients.rs
+++ b/crates/testing/test-services/src/clients.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use limeway_scenario::file::Effect;
 use limeway_scenario::{Arrival, Day, Micros};
-use limeway_verdict::ledger::{Left, Record};
+use limeway_checker::ledger::{Left, Record};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/testing/test-services/src/counter.rs
+++ b/crates/testing/test-services/src/counter.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use limeway_scenario::day::Services;
 use limeway_scenario::Micros;
-use limeway_verdict::ledger::{Counted, Record};
+use limeway_checker::ledger::{Counted, Record};
 use std::collections::{BTreeSet, HashMap};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testing/test-services/src/discovery.rs
+++ b/crates/testing/test-services/src/discovery.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 use limeway_scenario::Micros;
-use limeway_verdict::ledger::{Health, Record};
+use limeway_checker::ledger::{Health, Record};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/testing/test-services/src/node.rs
+++ b/crates/testing/test-services/src/node.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Response, StatusCode};
 use limeway_scenario::{Micros, NodeSpec};
-use limeway_verdict::ledger::{Fate, Record};
+use limeway_checker::ledger::{Fate, Record};
 use std::collections::{HashMap, VecDeque};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/testing/test-services/src/peers.rs
+++ b/crates/testing/test-services/src/peers.rs
@@ -5,7 +5,7 @@
 use limeway_faults::{Conditions, Delay, Mesh, Record as Fired};
 use limeway_scenario::day::Services;
 use limeway_scenario::Micros;
-use limeway_verdict::ledger::Record;
+use limeway_checker::ledger::Record;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
--- a/crates/testing/test-services/src/world.rs
+++ b/crates/testing/test-services/src/world.rs
@@ -12,7 +12,7 @@
 use limeway_scenario::file::Effect;
 use limeway_scenario::links::{Apart, LinkEvent, Side};
 use limeway_scenario::{settings, Day, Micros};
-use limeway_verdict::ledger::{self, Health, Opening};
+use limeway_checker::ledger::{self, Health, Opening};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io;
--- a/crates/testing/test-services/tests/promises.rs
+++ b/crates/testing/test-services/tests/promises.rs
@@ -4,7 +4,7 @@
 use limeway_scenario::{draw, Day, Scenario};
 use limeway_test_services::book::{digest, Sent};
 use limeway_test_services::{Mode, World};
-use limeway_verdict::ledger::{Fate, Health, Record};
+use limeway_checker::ledger::{Fate, Health, Record};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
