--- a/crates/faults/tests/cost.rs
+++ b/crates/testing/fault-injection/tests/cost.rs
@@ -1,6 +1,6 @@
 //! What an idle link adds, and how true a delay is. Prints figures; a figure that a busy machine spoils fails nothing.
 
-use limeway_faults::{Conditions, Delay, Record, Streams};
+use limeway_fault_injection::{Conditions, Delay, Record, Streams};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/faults/tests/links.rs
+++ b/crates/testing/fault-injection/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links without a fault change nothing; with one, only what it names differs.
 
-use limeway_faults::{Conditions, Delay, Door, Mesh, Record, Streams, What};
+use limeway_fault_injection::{Conditions, Delay, Door, Mesh, Record, Streams, What};
 use proptest::prelude::*;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -110,7 +110,7 @@
     fn datagrams_come_once_and_only_what_is_named_differs(
         loss in prop_oneof![Just(0.0), 0.1..0.6f64], double in prop_oneof![Just(0.0), 0.1..0.6f64], seed in any::<u64>(),
     ) {
-        let way = limeway_faults::Way::new("way", seed, &Record::default());
+        let way = limeway_fault_injection::Way::new("way", seed, &Record::default());
         way.set(Conditions { loss, double, delay: Delay::Between(ms(0), ms(9)), ..Conditions::default() });
         let now = Instant::now();
         let copies: Vec<usize> = (0..2_000).map(|_| way.datagram(now, 80).iter().flatten().count()).collect();
--- a/crates/testing/rehearsal/src/nemesis.rs
+++ b/crates/testing/rehearsal/src/nemesis.rs
@@ -5,7 +5,7 @@
 use crate::{quotas, report};
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
-use limeway_faults::{Fired, What};
+use limeway_fault_injection::{Fired, What};
 use limeway_scenario::file::{builtin, Entry};
 use limeway_scenario::nemesis::{self, Schedule};
 use limeway_scenario::{draw, Scenario};
--- a/crates/testing/rehearsal/src/rehearsal.rs
+++ b/crates/testing/rehearsal/src/rehearsal.rs
@@ -3,7 +3,7 @@
 use crate::fleet::Fleet;
 use crate::histories;
 use crate::KitError;
-use limeway_faults::Fired;
+use limeway_fault_injection::Fired;
 use limeway_scenario::{Day, Event, What};
 use limeway_test_services::book::lock;
 use limeway_test_services::world::{opening, World};
--- a/crates/testing/rehearsal/tests/fleet.rs
+++ b/crates/testing/rehearsal/tests/fleet.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::limeway;
-use limeway_faults::What;
+use limeway_fault_injection::What;
 use limeway_event_log::What as Said;
 use limeway_rehearsal::nemesis::{play, timeline, Options, Outcome};
 use limeway_rehearsal::quotas;
--- a/crates/testing/test-services/src/ways.rs
+++ b/crates/testing/test-services/src/ways.rs
@@ -1,7 +1,7 @@
 //! The TCP links from limiters to counter and discovery, on days on which these fail.
 
 use crate::book::digest;
-use limeway_faults::{Conditions, Delay, Door, Record, Streams};
+use limeway_fault_injection::{Conditions, Delay, Door, Record, Streams};
 use limeway_scenario::links::{Directions, LinkEvent, LinkFault, Side};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/testing/test-services/src/world.rs
+++ b/crates/testing/test-services/src/world.rs
@@ -8,7 +8,7 @@
 use crate::node::{Common, Node};
 use crate::peers::Peers;
 use crate::ways::Ways;
-use limeway_faults::Record as Fired;
+use limeway_fault_injection::Record as Fired;
 use limeway_scenario::file::Effect;
 use limeway_scenario::links::{Apart, LinkEvent, Side};
 use limeway_scenario::{settings, Day, Micros};
