--- a/crates/balancer/src/control.rs
+++ b/crates/balancer/src/control.rs
@@ -3,9 +3,9 @@
 use crate::clock::now;
 use crate::core::Core;
 use crate::directory::{self, query};
+use limeway_control_plane::{Ask, Event, Told};
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound, Stop};
-use limeway_control_plane::{Ask, Event, Told};
 use limeway_routing_config::document::{self, Order};
 use limeway_service_registry::{Phase, Report};
 use miniserde::json::{self, Number, Value};
--- a/crates/balancer/src/main.rs
+++ b/crates/balancer/src/main.rs
@@ -15,7 +15,7 @@
     use std::path::PathBuf;
     xflags::xflags! {
     /// limeway, the whole system.
-    cmd exchange {
+    cmd limeway-balancer {
         /// Runs a process of the system.
         cmd serve {
             /// Settings file; else the variable LIMEWAY_BOOT names it.
@@ -31,7 +31,7 @@
     }
     }
 }
-use flags::{Exchange, ExchangeCmd};
+use flags::{LimewayBalancer, LimewayBalancerCmd};
 
 /// Writes the fields of a log line.
 struct Fields<'a>(&'a mut Vec<u8>);
@@ -61,10 +61,10 @@
 }
 
 fn main() -> ExitCode {
-    let flags = Exchange::from_env_or_exit();
+    let flags = LimewayBalancer::from_env_or_exit();
     let (path, level, check) = match flags.subcommand {
-        ExchangeCmd::Check(check) => (Some(check.path), None, true),
-        ExchangeCmd::Serve(serve) => {
+        LimewayBalancerCmd::Check(check) => (Some(check.path), None, true),
+        LimewayBalancerCmd::Serve(serve) => {
             let named = || std::env::var_os(limeway_settings::VARIABLE).map(PathBuf::from);
             (serve.settings.or_else(named), serve.log, false)
         }
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -7,8 +7,8 @@
 use crate::messages::{Call, Ping, Pong, Reply};
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
 use limeway_consensus::{Node, Seat, Slot};
-use limeway_routing_config::Op;
 use limeway_membership::{Claim, Presence};
+use limeway_routing_config::Op;
 use limeway_service_registry::Report;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -24,12 +24,12 @@
 mod servers;
 
 use limeway_consensus::{Acceptor, Life, Node, Seat, Slot};
-use limeway_routing_config::{BadConfig, Order, Plan, State};
-use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::Board;
+use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
 use limeway_quota::count::Count;
 use limeway_quota::Rule;
+use limeway_routing_config::{BadConfig, Order, Plan, State};
 use limeway_service_registry::Report;
 use messages::{Call, Reply, Standing};
 use serde_bytes::ByteBuf;
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -1,9 +1,9 @@
 //! What processes of the system say to each other.
 
 use limeway_consensus::{Ballot, Life, Node, Slot, Word};
-use limeway_membership::{Claim, Held, Presence};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Feed, Poll, Steps};
+use limeway_membership::{Claim, Held, Presence};
 use limeway_quota::{Answer, Request};
 use limeway_service_registry::Report;
 use serde::{Deserialize, Serialize};
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -4,12 +4,12 @@
 
 use limeway_consensus::{Ballot, Open, Seat, Word};
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, State};
-use limeway_membership::{Claim, Held, Presence};
 use limeway_distribution::parcel::{Have, Label, Part, Want};
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
+use limeway_membership::{Claim, Held, Presence};
 use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, State};
 use limeway_service_registry::{Phase, Report};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -15,8 +15,8 @@
 //! Free of I/O; times are those of each machine's own steady clock.
 #![forbid(unsafe_code)]
 
-use limeway_routing_config::{Op, State};
 use limeway_membership::{Node, Presence, GROUPS};
+use limeway_routing_config::{Op, State};
 use limeway_service_registry::{Report, Watch};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{core, poll, report};
-use limeway_routing_config::Op;
 use limeway_distribution::{pack, Board, Trust, UNSURE};
+use limeway_routing_config::Op;
 use limeway_service_registry::Phase;
 use rstest::rstest;
 
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Boards, polls and operations for the tests of this package.
 #![allow(dead_code)]
 
+use limeway_distribution::{pack, Board, Micros, Poll};
+use limeway_membership::Presence;
 use limeway_routing_config::document::{Item, Kind};
 use limeway_routing_config::Op;
-use limeway_membership::Presence;
-use limeway_distribution::{pack, Board, Micros, Poll};
 use limeway_service_registry::{Phase, Report};
 use std::net::SocketAddrV4;
 
--- a/crates/control/distribution/tests/feeds.rs
+++ b/crates/control/distribution/tests/feeds.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{poll, report};
-use limeway_routing_config::Op;
 use limeway_distribution::{pack, tree, Board, Member};
+use limeway_routing_config::Op;
 use limeway_service_registry::Phase;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/distribution/tests/following.rs
+++ b/crates/control/distribution/tests/following.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{core, presence};
-use limeway_routing_config::Op;
-use limeway_membership::Node;
 use limeway_distribution::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
 use limeway_distribution::parcel::{PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Micros};
+use limeway_membership::Node;
+use limeway_routing_config::Op;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
--- a/crates/control/distribution/tests/parts.rs
+++ b/crates/control/distribution/tests/parts.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{core, poll, routes};
-use limeway_routing_config::Op;
 use limeway_distribution::parcel::{seal, unseal, Want, PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Steps};
+use limeway_routing_config::Op;
 use rstest::rstest;
 
 /// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
--- a/crates/control/distribution/tests/storm.rs
+++ b/crates/control/distribution/tests/storm.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{core, presence, routes};
-use limeway_membership::Node;
 use limeway_distribution::follow::{Follower, Next};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Board, Feed, Member, Micros, Poll, Steps};
+use limeway_membership::Node;
 use rstest::rstest;
 
 /// A step of virtual time, in microseconds.
--- a/crates/control/routing-config/examples/changes.rs
+++ b/crates/control/routing-config/examples/changes.rs
@@ -1,7 +1,7 @@
 //! What a change costs: time to check an order, to apply it and to make the snapshot, and bytes of its operation.
 //!
-//!     cargo run --release -p limeway-numbering --example changes
-//!     cargo run --release -p limeway-numbering --example changes -- 2000 47000    memory instead
+//!     cargo run --release -p limeway-routing-config --example changes
+//!     cargo run --release -p limeway-routing-config --example changes -- 2000 47000    memory instead
 
 use limeway_routing_config::document::Order;
 use limeway_routing_config::{Op, Plan, State};
--- a/crates/control/routing-config/tests/known.rs
+++ b/crates/control/routing-config/tests/known.rs
@@ -87,7 +87,8 @@
 #[rstest]
 fn a_configuration_grows_to_its_bound_by_no_number_of_orders() {
     let mut state = State::default();
-    let item = |n| limeway_routing_config::Item { kind: Kind::Service, name: format!("{n}"), spec: "{}".into() };
+    let item =
+        |n| limeway_routing_config::Item { kind: Kind::Service, name: format!("{n}"), spec: "{}".into() };
     let set = (0..ITEMS_MOST).map(item).collect();
     state.apply(&Op::Config { version: 1, base: 0, whole: true, set, drop: vec![], digest: 0 });
     // A route without its fields: where there is room for it, that is what is wrong.
@@ -151,8 +152,11 @@
 
 #[rstest]
 fn a_state_of_an_earlier_build_is_read() {
-    let item =
-        |name: &str| limeway_routing_config::Item { kind: Kind::Service, name: name.into(), spec: "{}".into() };
+    let item = |name: &str| limeway_routing_config::Item {
+        kind: Kind::Service,
+        name: name.into(),
+        spec: "{}".into(),
+    };
     let taken = vec![BeforeTaken { version: 2, digest: 7 }];
     let items = vec![(1, item("b")), (2, item("a"))];
     let evacuated = [("z".to_owned(), 1)].into();
--- a/crates/control/storage/examples/record_cost.rs
+++ b/crates/control/storage/examples/record_cost.rs
@@ -1,6 +1,6 @@
 //! Time and bytes that a slot costs on disk: the whole state in one row, as format 1 had it, against records with snapshots when due.
 //!
-//! `cargo run --release -p limeway-vault --example record_cost [FOLDER]`
+//! `cargo run --release -p limeway-storage --example record_cost [FOLDER]`
 
 use limeway_storage::{Folder, Medium, Name, Record, Vault, Votes};
 use redb::{Database, StorageBackend, TableDefinition};
--- a/crates/control/storage/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -11,7 +11,7 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("limeway-vault-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("limeway-storage-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         Folder(path)
     }
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -129,7 +129,7 @@
         group.iter().for_each(|step| drop(next.record(step, false)));
         after.push(next);
     }
-    let folder = std::env::temp_dir().join(format!("limeway-vault-{}-kills", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("limeway-storage-{}-kills", std::process::id()));
     let mut step = 1;
     loop {
         let _ = std::fs::remove_dir_all(&folder);
--- a/crates/control/storage/tests/log/rules.rs
+++ b/crates/control/storage/tests/log/rules.rs
@@ -3,7 +3,9 @@
 use crate::script::{op, state, NODE};
 use crate::sim::{Loss, Sim, Trouble};
 use limeway_consensus::{Ballot, Open};
-use limeway_storage::{Record, Vault, VaultError, Votes, BYTES_DUE, OPS_DUE, OPS_MOST, SIZE_LEAST, SPACE_MOST};
+use limeway_storage::{
+    Record, Vault, VaultError, Votes, BYTES_DUE, OPS_DUE, OPS_MOST, SIZE_LEAST, SPACE_MOST,
+};
 use redb::{Database, TableDefinition};
 use rstest::rstest;
 use serde::Serialize;
--- a/crates/gateway/gateway/src/config.rs
+++ b/crates/gateway/gateway/src/config.rs
@@ -119,7 +119,9 @@
     // One byte beyond what may be: guards against reading a file without end.
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| bad(&e))?;
-    file.take(limeway_operator_config::BYTES_MOST as u64 + 1).read_to_string(&mut text).map_err(|e| bad(&e))?;
+    file.take(limeway_operator_config::BYTES_MOST as u64 + 1)
+        .read_to_string(&mut text)
+        .map_err(|e| bad(&e))?;
     Operator::read(&text).map_err(|e| bad(&e))
 }
 
--- a/crates/testing/checker/tests/aftermath.rs
+++ b/crates/testing/checker/tests/aftermath.rs
@@ -1,10 +1,10 @@
 //! Histories by hand: each that breaks a promise about faults is convicted, and its twin that keeps it is not.
 
-use limeway_event_log::What;
 use limeway_checker::aftermath::{aftermath, agreement, Aftermath};
 use limeway_checker::ledger::*;
 use limeway_checker::run::Run;
 use limeway_checker::{judge_run, rules::Judged};
+use limeway_event_log::What;
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
--- a/crates/testing/fault-injection/tests/cost.rs
+++ b/crates/testing/fault-injection/tests/cost.rs
@@ -21,7 +21,7 @@
     took
 }
 
-/// `cargo test --release -p limeway-faults --test cost -- --ignored --nocapture`
+/// `cargo test --release -p limeway-fault-injection --test cost -- --ignored --nocapture`
 #[tokio::test(flavor = "multi_thread", worker_threads = 3)]
 #[ignore = "a measurement"]
 async fn an_idle_link_and_a_delay_of_10_ms() {
--- a/crates/testing/gateway-simulation/tests/bounds.rs
+++ b/crates/testing/gateway-simulation/tests/bounds.rs
@@ -3,7 +3,7 @@
 
 use limeway_gateway_simulation::{play, play_with, shrink, Fault, Figures, Finding, Guards, Kind, Schedule};
 
-/// Days of each kind here; `limeway-kit drill` plays any number.
+/// Days of each kind here; `limeway-rehearsal drill` plays any number.
 const DAYS: u64 = 30;
 
 /// Overshoot of one customer in one window at most, as a part of its budget, one largest request a gateway aside: the
--- a/crates/testing/load-generator/src/main.rs
+++ b/crates/testing/load-generator/src/main.rs
@@ -22,7 +22,7 @@
     use std::path::PathBuf;
     xflags::xflags! {
         /// Load for the whole system. An open loop: arrivals do not wait for answers, and times count from when a request was due.
-        cmd ringer {
+        cmd limeway-load {
             /// Starts a small whole system on loopback, puts a load on it, and shows what is served.
             cmd demo {
                 /// Seconds of load (20).
@@ -77,7 +77,7 @@
         }
     }
 }
-use flags::{Demo, Load, Ringer, RingerCmd, Scale};
+use flags::{Demo, LimewayLoad, LimewayLoadCmd, Load, Scale};
 
 type Accounts = Rc<RefCell<BTreeMap<String, Account>>>;
 
@@ -134,13 +134,13 @@
     if let Some(path) = named {
         return Ok(path);
     }
-    println!("building exchange ...");
+    println!("building limeway-balancer ...");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let built = std::process::Command::new(cargo)
         .args(["build", "-q", "--release", "-p", "limeway-balancer"])
         .status()?;
     if !built.success() {
-        return Err(io::Error::other("exchange was not built"));
+        return Err(io::Error::other("limeway-balancer was not built"));
     }
     Ok(PathBuf::from("target/release/limeway-balancer"))
 }
@@ -159,7 +159,7 @@
     let program = program(flags.program)?;
     let (seconds, rate, seed) =
         (flags.seconds.unwrap_or(20), flags.rate.unwrap_or(150.0), flags.seed.unwrap_or(1));
-    let folder = std::env::temp_dir().join(format!("ringer-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("limeway-load-{}", std::process::id()));
     let net = 100 + (std::process::id() % 100) as u8;
     let mut system = System::start(&program, &folder, flags.edges.unwrap_or(3), 9, net)?;
     system.serve().await?;
@@ -248,7 +248,7 @@
 }
 
 fn main() -> ExitCode {
-    let flags = Ringer::from_env_or_exit();
+    let flags = LimewayLoad::from_env_or_exit();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
@@ -258,10 +258,10 @@
     };
     let done = LocalSet::new().block_on(&runtime, async {
         match flags.subcommand {
-            RingerCmd::Demo(flags) => demo(flags).await,
-            RingerCmd::Load(flags) => load(flags).await,
-            RingerCmd::Scale(flags) => scale(flags).await,
-            RingerCmd::Slopes(_) => {
+            LimewayLoadCmd::Demo(flags) => demo(flags).await,
+            LimewayLoadCmd::Load(flags) => load(flags).await,
+            LimewayLoadCmd::Scale(flags) => scale(flags).await,
+            LimewayLoadCmd::Slopes(_) => {
                 limeway_load_generator::slopes::measure().iter().for_each(|row| println!("{row}"));
                 Ok(())
             }
--- a/crates/testing/load-generator/src/scale.rs
+++ b/crates/testing/load-generator/src/scale.rs
@@ -6,8 +6,8 @@
 use crate::system::{call, settings, System};
 use limeway_balancer::edge::Edge;
 use limeway_balancer::{clock, link};
-use limeway_settings::Settings;
 use limeway_http1::conn::Conn;
+use limeway_settings::Settings;
 use std::cell::Cell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -179,7 +179,7 @@
 
 /// Makes the run, and tells each step.
 pub async fn run(program: &Path, size: Size) -> io::Result<()> {
-    let folder = std::env::temp_dir().join(format!("ringer-scale-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("limeway-load-scale-{}", std::process::id()));
     let net = 100 + (std::process::id() % 100) as u8;
     clock::seed(u32::from(net));
     let zones = (0..ZONES).map(|z| (format!("z{z}"), format!("region{}", z % REGIONS))).collect();
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -1,13 +1,13 @@
 //! What one more limiter, server, route or tenant costs: the state machines of the system, driven by hand at one, two, four
 //! and eight times a size. `docs/CAPACITY.md` works the target out from these slopes.
 
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, State};
-use limeway_membership::{Presence, Roster};
 use limeway_distribution::{pack, Board, Poll};
+use limeway_membership::{Presence, Roster};
 use limeway_quota::count::Count;
 use limeway_quota::escrow::Escrow;
 use limeway_quota::{Ask, Rule};
+use limeway_routing_config::document::Order;
+use limeway_routing_config::{Op, State};
 use limeway_service_registry::{Phase, Report};
 use std::collections::BTreeSet;
 use std::hint::black_box;
--- a/crates/testing/rehearsal/src/fleet.rs
+++ b/crates/testing/rehearsal/src/fleet.rs
@@ -1,10 +1,10 @@
 //! The limiters' processes: start, signals, unexpected ends, what they use.
 
 use crate::KitError;
+use limeway_checker::ledger::{Change, Micros, Record};
 use limeway_test_services::book::lock;
 use limeway_test_services::clients::Seen;
 use limeway_test_services::World;
-use limeway_checker::ledger::{Change, Micros, Record};
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs::{self, File, OpenOptions};
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/histories.rs
+++ b/crates/testing/rehearsal/src/histories.rs
@@ -1,9 +1,9 @@
 //! Limiters' own histories: asked for by the operators' file, and put into the ledger's time.
 
 use crate::KitError;
+use limeway_checker::ledger::Record;
 use limeway_event_log::read;
 use limeway_test_services::Clock;
-use limeway_checker::ledger::Record;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/lib.rs
+++ b/crates/testing/rehearsal/src/lib.rs
@@ -1,6 +1,6 @@
 //! Rehearsals: the limiter that ships, as processes, among stand-ins for all that it talks to.
 //!
-//! [`rehearsal::rehearse`] plays a day and gives its ledger; [`limeway_verdict`] judges that; [`report`] words it.
+//! [`rehearsal::rehearse`] plays a day and gives its ledger; [`limeway_checker`] judges that; [`report`] words it.
 //! [`daemon`] finds or builds the limiter, [`fleet`] runs its processes.
 #![forbid(unsafe_code)]
 
--- a/crates/testing/rehearsal/src/main.rs
+++ b/crates/testing/rehearsal/src/main.rs
@@ -1,18 +1,18 @@
-//! `limeway-kit`: rehearsals on one machine. Exit code 0 if all five rules pass, 1 if one is broken, 2 if the scenario
+//! `limeway-rehearsal`: rehearsals on one machine. Exit code 0 if all five rules pass, 1 if one is broken, 2 if the scenario
 //! or the set-up cannot run, 3 if the run is void.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
+use limeway_checker::ledger::{Change, Record};
+use limeway_checker::run::Run;
+use limeway_checker::{judge_run, Verdict};
 use limeway_gateway_simulation::{Guards, Kind};
 use limeway_rehearsal::fleet::READY_MOST;
 use limeway_rehearsal::rehearsal::{interrupted, rehearse, Plan, Played, Progress};
 use limeway_rehearsal::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
 use limeway_scenario::nemesis::{Schedule, CASES};
 use limeway_scenario::{builtin, builtins, draw, Day, Scenario};
-use limeway_checker::ledger::{Change, Record};
-use limeway_checker::run::Run;
-use limeway_checker::{judge_run, Verdict};
 use std::fs;
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
--- a/crates/testing/rehearsal/src/measure.rs
+++ b/crates/testing/rehearsal/src/measure.rs
@@ -5,10 +5,10 @@
 use crate::KitError;
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
-use limeway_scenario::file::Span;
-use limeway_scenario::{draw, Scenario};
 use limeway_checker::judge_run;
 use limeway_checker::ledger::Closing;
+use limeway_scenario::file::Span;
+use limeway_scenario::{draw, Scenario};
 use serde::Serialize;
 use std::path::Path;
 
--- a/crates/testing/rehearsal/src/rehearsal.rs
+++ b/crates/testing/rehearsal/src/rehearsal.rs
@@ -3,13 +3,13 @@
 use crate::fleet::Fleet;
 use crate::histories;
 use crate::KitError;
+use limeway_checker::ledger::{Closing, Micros, Opening, Record};
+use limeway_checker::run::Run;
 use limeway_fault_injection::Fired;
 use limeway_scenario::{Day, Event, What};
 use limeway_test_services::book::lock;
 use limeway_test_services::world::{opening, World};
 use limeway_test_services::Mode;
-use limeway_checker::ledger::{Closing, Micros, Opening, Record};
-use limeway_checker::run::Run;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -339,7 +339,7 @@
                 Ok(Folder::Kept(path.to_owned()))
             }
             None => {
-                let made = tempfile::Builder::new().prefix("limeway-kit-").tempdir();
+                let made = tempfile::Builder::new().prefix("limeway-rehearsal-").tempdir();
                 made.map(Folder::Passing).map_err(|e| KitError::File("a temporary folder".into(), e))
             }
         }
--- a/crates/testing/rehearsal/tests/common/mod.rs
+++ b/crates/testing/rehearsal/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! Short rehearsals for tests.
 #![allow(dead_code)] // Each test file uses its own part of this.
 
+use limeway_checker::{judge, Verdict};
 use limeway_rehearsal::rehearsal::{rehearse, Plan, Played};
 use limeway_rehearsal::{daemon, KitError};
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Scenario};
-use limeway_checker::{judge, Verdict};
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
--- a/crates/testing/rehearsal/tests/fleet.rs
+++ b/crates/testing/rehearsal/tests/fleet.rs
@@ -5,12 +5,12 @@
 mod common;
 
 use common::limeway;
-use limeway_fault_injection::What;
+use limeway_checker::ledger::Change;
 use limeway_event_log::What as Said;
+use limeway_fault_injection::What;
 use limeway_rehearsal::nemesis::{play, timeline, Options, Outcome};
 use limeway_rehearsal::quotas;
 use limeway_scenario::nemesis::Schedule;
-use limeway_checker::ledger::Change;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
--- a/crates/testing/rehearsal/tests/rehearsals.rs
+++ b/crates/testing/rehearsal/tests/rehearsals.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::*;
+use limeway_checker::ledger::{Change, Left, Record};
+use limeway_checker::Verdict;
 use limeway_rehearsal::fleet::Fleet;
 use limeway_rehearsal::KitError;
 use limeway_test_services::World;
-use limeway_checker::ledger::{Change, Left, Record};
-use limeway_checker::Verdict;
 
 /// All rules pass, the run counts, and the daemon did its work.
 fn passes(verdict: &Verdict) {
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -75,7 +75,8 @@
             if slot != self.state.slot + 1 {
                 return Err(format!("operation {slot} written on a state of slot {}", self.state.slot));
             }
-            let op = limeway_distribution::parcel::unseal(&op).and_then(|op| limeway_distribution::unpack(&op));
+            let op =
+                limeway_distribution::parcel::unseal(&op).and_then(|op| limeway_distribution::unpack(&op));
             self.state.apply(&op.ok_or("an operation that cannot be read")?);
         }
         if record.votes.applied != self.state.slot {
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -5,9 +5,9 @@
 use crate::{Micros, Off, SECOND};
 use limeway_consensus::{Seat, Slot};
 use limeway_control_plane::{Ask, Told};
+use limeway_membership::GROUPS;
 use limeway_routing_config::document::Order;
 use limeway_routing_config::State;
-use limeway_membership::GROUPS;
 use limeway_service_registry::Phase;
 use std::collections::BTreeMap;
 
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -12,7 +12,7 @@
     #![allow(missing_docs, reason = "what the macro writes has none")]
     xflags::xflags! {
         /// The core machines' state machines under simulated faults, in virtual time.
-        cmd rig {
+        cmd limeway-simulation {
             /// Plays schedules until one fails, and cuts that down.
             cmd play {
                 /// How many (1000).
@@ -49,7 +49,7 @@
         }
     }
 }
-use flags::{Rig, RigCmd};
+use flags::{LimewaySimulation, LimewaySimulationCmd};
 
 fn guard(name: Option<String>) -> Option<Off> {
     let Some(name) = name else { return Some(Off::Nothing) };
@@ -92,8 +92,8 @@
 }
 
 fn main() -> ExitCode {
-    match Rig::from_env_or_exit().subcommand {
-        RigCmd::Play(flags) => {
+    match LimewaySimulation::from_env_or_exit().subcommand {
+        LimewaySimulationCmd::Play(flags) => {
             let Some(off) = guard(flags.off) else { return ExitCode::FAILURE };
             let from = flags.from.unwrap_or(0);
             let seeds = from..from.saturating_add(flags.seeds.unwrap_or(1_000));
@@ -112,13 +112,13 @@
                 None => ExitCode::SUCCESS,
             }
         }
-        RigCmd::Digest(flags) => {
+        LimewaySimulationCmd::Digest(flags) => {
             let seeds = flags.seeds.unwrap_or(DIGEST_SEEDS);
             let digest = play::digest(0..seeds, draw(flags.harsh));
             println!("{seeds} seeds, digest {digest:016x}");
             ExitCode::SUCCESS
         }
-        RigCmd::Replay(flags) => match guard(flags.off) {
+        LimewaySimulationCmd::Replay(flags) => match guard(flags.off) {
             Some(off) => show(draw(flags.harsh)(flags.seed), off, flags.whole),
             None => ExitCode::FAILURE,
         },
--- a/crates/testing/simulation/tests/schedules.rs
+++ b/crates/testing/simulation/tests/schedules.rs
@@ -12,7 +12,7 @@
 #[case::harsh(Schedule::harsh, 150, 2_000)]
 fn nothing_is_broken(#[case] draw: fn(u64) -> Schedule, #[case] seeds: u64, #[case] orders: usize) {
     let outcome = play::play(0..seeds, draw, Off::Nothing, JOBS, 1);
-    assert_eq!(outcome.broken, [], "replay it: cargo run --release -p limeway-rig -- replay SEED");
+    assert_eq!(outcome.broken, [], "replay it: cargo run --release -p limeway-simulation -- replay SEED");
     let [done, refused, reads] = outcome.tally;
     assert!(done > orders && refused > orders && reads > orders, "{outcome:?}: nothing was tested");
 }
--- a/crates/testing/test-services/src/peers.rs
+++ b/crates/testing/test-services/src/peers.rs
@@ -1,11 +1,11 @@
 //! The network between limiters: each sees the others under addresses of its own; datagrams come late, or not at all.
 
 use crate::book::{lock, Book};
+use limeway_checker::ledger::Record;
 use limeway_fault_injection::datagram::Deliver;
 use limeway_fault_injection::{Conditions, Delay, Mesh, Record as Fired};
 use limeway_scenario::day::Services;
 use limeway_scenario::Micros;
-use limeway_checker::ledger::Record;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
--- a/crates/testing/test-services/tests/promises.rs
+++ b/crates/testing/test-services/tests/promises.rs
@@ -1,10 +1,10 @@
 //! Stand-ins keep their own promises, over sockets.
 
+use limeway_checker::ledger::{Fate, Health, Record};
 use limeway_scenario::file::Span;
 use limeway_scenario::{draw, Day, Scenario};
 use limeway_test_services::book::{digest, Sent};
 use limeway_test_services::{Mode, World};
-use limeway_checker::ledger::{Fate, Health, Record};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
