--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -3,7 +3,7 @@
 use crate::clock::{self, now};
 use crate::disk::Disk;
 use crate::link::{self, Links};
-use limeway_consensus::{Acceptor, Node};
+use limeway_consensus::{Acceptor, NodeId};
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Action, Ask, Event, Job, Marker, Start, Token, Told};
 use limeway_quota::Rule;
@@ -52,7 +52,7 @@
     /// A core machine that starts with what was found on its disk.
     pub fn new(settings: Settings, acceptor: Acceptor, state: State, empty: bool, disk: Disk) -> Rc<Self> {
         let start = Start {
-            me: Node::from(settings.ip),
+            me: NodeId::from(settings.ip),
             boot: clock::draw() | 1,
             ack_timeout: settings.bounds.ack_timeout,
             counted: settings.counted && settings.data.is_some(),
@@ -131,7 +131,7 @@
                 }
                 Action::Write(job, record) => {
                     let (votes, snapshot) = (record.votes, record.snapshot);
-                    let votes = Votes { life: votes.life, applied: votes.applied, open: votes.open };
+                    let votes = Votes { life: votes.disk, applied: votes.applied, open: votes.slot_state };
                     let ops = record.ops.into_iter().map(|(slot, op)| (slot, op.into_vec())).collect();
                     let written = self.disk.write(Record { votes, ops, snapshot });
                     // More than the state machine has under way at once find room.
--- a/crates/balancer/src/disk.rs
+++ b/crates/balancer/src/disk.rs
@@ -12,7 +12,7 @@
 //! `false` says that the record may or may not be on disk, and that nothing may be said that rests on it.
 
 use error_stack::Report;
-use limeway_consensus::{Life, Node};
+use limeway_consensus::{DiskIncarnation, NodeId};
 use limeway_storage::{Folder, Found, Record, Vault, VaultError};
 use std::cell::Cell;
 use std::future::Future;
@@ -106,7 +106,11 @@
     }
 
     /// Opens the file in a folder and starts the thread. A disk that refuses for now is waited for.
-    pub async fn open(folder: PathBuf, node: Node, fresh: Life) -> Result<(Self, Found), Report<VaultError>> {
+    pub async fn open(
+        folder: PathBuf,
+        node: NodeId,
+        fresh: DiskIncarnation,
+    ) -> Result<(Self, Found), Report<VaultError>> {
         let open = move || Vault::open(Folder::new(&folder), node, fresh);
         let (tell, told) = oneshot::channel();
         let opening = move || {
--- a/crates/balancer/src/service.rs
+++ b/crates/balancer/src/service.rs
@@ -8,7 +8,7 @@
 use crate::switch;
 use crate::{control, link};
 use error_stack::{Report, ResultExt};
-use limeway_consensus::{Acceptor, Node};
+use limeway_consensus::{Acceptor, NodeId};
 use limeway_control_plane::Event;
 use limeway_distribution::parcel::unseal;
 use limeway_distribution::unpack;
@@ -76,7 +76,7 @@
 
 /// Runs the process that the settings describe, until it is told to end.
 pub async fn run(settings: Settings) -> Result<(), Report<StartError>> {
-    clock::seed(Node::from(settings.ip));
+    clock::seed(NodeId::from(settings.ip));
     let mut terminate = signal(SignalKind::terminate()).change_context(StartError::Signals)?;
     let reload = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
     let inner = SocketAddr::from((settings.ip, settings.inner.0));
@@ -109,11 +109,11 @@
         Some(folder) => {
             // All disks of the first start have one life; later ones are told apart.
             let life = if settings.first_start { 0 } else { clock::draw() | 1 };
-            let (disk, found) = Disk::open(folder.clone(), Node::from(settings.ip), life)
+            let (disk, found) = Disk::open(folder.clone(), NodeId::from(settings.ip), life)
                 .await
                 .change_context(StartError::Disk)?;
             let votes = found.votes.clone();
-            let acceptor = Acceptor { life: votes.life, applied: votes.applied, open: votes.open };
+            let acceptor = Acceptor { disk: votes.life, applied: votes.applied, slot_state: votes.open };
             let empty = found.empty;
             (acceptor, state(found).ok_or(StartError::Disk)?, empty, disk)
         }
--- a/crates/control/consensus/tests/exhaustive.rs
+++ b/crates/control/consensus/tests/exhaustive.rs
@@ -4,7 +4,9 @@
 //! Each question and each word may arrive at any time, or never; a question that its holder has gone past is dropped. A disk is lost only while no other seat's disk is:
 //! within the fault model a lost one counts until its place is agreed and all who sit have applied that.
 
-use limeway_consensus::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
+use limeway_consensus::{
+    Acceptor, AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot, Voter,
+};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::collections::hash_map::DefaultHasher;
@@ -34,12 +36,12 @@
 #[derive(Debug, Clone)]
 struct Held {
     slot: Slot,
-    ballot: Ballot,
-    round: Round,
+    ballot: ProposalNumber,
+    round: Proposer,
     own: ByteBuf,
-    promises: BTreeMap<Node, Word>,
+    promises: BTreeMap<NodeId, AcceptorReply>,
     accepting: Option<ByteBuf>,
-    accepts: BTreeMap<Node, Word>,
+    accepts: BTreeMap<NodeId, AcceptorReply>,
     done: bool,
 }
 
@@ -52,47 +54,47 @@
 }
 
 /// A value is a number, and the seats from the next slot on if it changes them: one byte a node, one a life.
-fn value(number: usize, seats: &[Seat]) -> ByteBuf {
-    let pairs = seats.iter().flat_map(|s| [s.node as u8, s.life as u8]);
+fn value(number: usize, seats: &[Voter]) -> ByteBuf {
+    let pairs = seats.iter().flat_map(|s| [s.node as u8, s.disk as u8]);
     ByteBuf::from(std::iter::once(number as u8 + 1).chain(pairs).collect::<Vec<u8>>())
 }
 
-fn seats(log: &[ByteBuf]) -> Vec<Seat> {
+fn seats(log: &[ByteBuf]) -> Vec<Voter> {
     let last = log.iter().rev().find(|v| v.len() > 1);
-    let first = || (0..SEATS as Node).map(|node| Seat { node, life: 0 }).collect();
+    let first = || (0..SEATS as NodeId).map(|node| Voter { node, disk: 0 }).collect();
     let read =
-        |v: &ByteBuf| v[1..].chunks(2).map(|c| Seat { node: c[0].into(), life: c[1].into() }).collect();
+        |v: &ByteBuf| v[1..].chunks(2).map(|c| Voter { node: c[0].into(), disk: c[1].into() }).collect();
     last.map_or_else(first, read)
 }
 
 impl World {
     fn new() -> Self {
-        let disk = |n: usize| Acceptor { life: u64::from(n >= SEATS) * 9, ..Acceptor::default() };
+        let disk = |n: usize| Acceptor { disk: u64::from(n >= SEATS) * 9, ..Acceptor::default() };
         let machines = (0..=SEATS).map(|n| Machine { disk: disk(n), log: Vec::new() }).collect();
         World { machines, held: Vec::new(), chosen: BTreeMap::new(), lost: 0 }
     }
 
-    fn seat(&self, at: usize) -> Seat {
-        Seat { node: at as Node, life: self.machines[at].disk.life }
+    fn seat(&self, at: usize) -> Voter {
+        Voter { node: at as NodeId, disk: self.machines[at].disk.disk }
     }
 
     /// Worlds with one key go on alike.
     fn key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
-        let ballot = |b: &Ballot| (b.round, b.node);
+        let ballot = |b: &ProposalNumber| (b.round, b.proposer);
         for machine in &self.machines {
-            let open = &machine.disk.open;
-            (machine.disk.life, machine.disk.applied, ballot(&open.promised)).hash(&mut hasher);
+            let open = &machine.disk.slot_state;
+            (machine.disk.disk, machine.disk.applied, ballot(&open.promised)).hash(&mut hasher);
             open.accepted.as_ref().map(|(b, v)| (ballot(b), v)).hash(&mut hasher);
             machine.log.hash(&mut hasher);
         }
-        let mut words = |words: &BTreeMap<Node, Word>| {
+        let mut words = |words: &BTreeMap<NodeId, AcceptorReply>| {
             for (node, word) in words {
                 let said = match word {
-                    Word::Promise { life, accepted } => {
+                    AcceptorReply::Promised { disk: life, accepted } => {
                         (*life, accepted.as_ref().map(|(b, v)| (ballot(b), v)))
                     }
-                    Word::Accepted { life } => (*life, None),
+                    AcceptorReply::Accepted { disk: life } => (*life, None),
                     _ => (u64::MAX, None),
                 };
                 (node, said).hash(&mut hasher);
@@ -113,7 +115,7 @@
     fn broken(&self) -> bool {
         let known = |slot: Slot, value: &Vec<u8>| {
             self.machines.iter().any(|m| {
-                let open = m.disk.open.accepted.as_ref().filter(|_| m.disk.applied + 1 == slot);
+                let open = m.disk.slot_state.accepted.as_ref().filter(|_| m.disk.applied + 1 == slot);
                 m.log.get(slot as usize - 1).is_some_and(|v| v[..] == value[..])
                     || open.is_some_and(|(_, v)| v[..] == value[..])
             })
@@ -125,9 +127,9 @@
     fn whole(&self) -> bool {
         let longest = self.machines.iter().map(|m| m.log.len()).max().unwrap_or(0);
         let newest = self.machines.iter().find(|m| m.log.len() == longest).map(|m| seats(&m.log));
-        let fine = |s: &Seat| {
+        let fine = |s: &Voter| {
             let machine = &self.machines[s.node as usize];
-            machine.disk.life == s.life && machine.log.len() == longest
+            machine.disk.disk == s.disk && machine.log.len() == longest
         };
         newest.is_some_and(|seats| seats.iter().all(fine)) && self.lost_since(longest)
     }
@@ -157,9 +159,9 @@
                 let mut world = self.clone();
                 world.lost += 1;
                 let life =
-                    if off == Off::Lives { self.machines[at].disk.life } else { 10 + self.lost as u64 };
+                    if off == Off::Lives { self.machines[at].disk.disk } else { 10 + self.lost as u64 };
                 world.machines[at] =
-                    Machine { disk: Acceptor { life, ..Acceptor::default() }, log: Vec::new() };
+                    Machine { disk: Acceptor { disk: life, ..Acceptor::default() }, log: Vec::new() };
                 all.push(world);
             }
             for from in &self.machines {
@@ -188,7 +190,7 @@
         let mut changes = vec![Vec::new()];
         for (_, seat) in new {
             let mut next = voters.clone();
-            let gone = |s: &Seat| self.seat(s.node as usize) != *s;
+            let gone = |s: &Voter| self.seat(s.node as usize) != *s;
             let place = next.iter().position(|s| s.node == seat.node).or(next.iter().position(gone));
             next[place.unwrap_or(0)] = seat;
             changes.push(next);
@@ -196,10 +198,10 @@
         let number = self.held.len();
         for change in changes {
             let mut world = self.clone();
-            let ballot = Ballot { round: number as u64 + 1, node: at as Node, boot: 0 };
+            let ballot = ProposalNumber { round: number as u64 + 1, proposer: at as NodeId, incarnation: 0 };
             let slot = log.len() as Slot + 1;
             let own = value(number, &change);
-            let round = Round::new(slot, ballot, voters.clone(), own.clone());
+            let round = Proposer::new(slot, ballot, voters.clone(), own.clone());
             let (promises, accepts) = (BTreeMap::new(), BTreeMap::new());
             world.held.push(Held {
                 slot,
@@ -220,18 +222,18 @@
         let (mut world, ballot) = (self.clone(), &self.held[held]);
         let sits = seats(&self.machines[at].log).contains(&self.seat(at));
         let disk = &mut world.machines[at].disk;
-        let node = at as Node;
+        let node = at as NodeId;
         match &ballot.accepting {
             _ if !sits => None,
             None if !ballot.promises.contains_key(&node) => {
                 let word = disk.prepare(ballot.slot, ballot.ballot);
-                let given = matches!(word, Word::Promise { .. });
+                let given = matches!(word, AcceptorReply::Promised { .. });
                 world.held[held].promises.insert(node, word);
                 given.then_some(world)
             }
             Some(value) if !ballot.accepts.contains_key(&node) => {
                 let word = disk.accept(ballot.slot, ballot.ballot, value.clone());
-                let given = matches!(word, Word::Accepted { .. });
+                let given = matches!(word, AcceptorReply::Accepted { .. });
                 world.held[held].accepts.insert(node, word);
                 given.then_some(world)
             }
@@ -246,20 +248,20 @@
         for (node, word) in words {
             for (other, second) in words.range(node + 1..) {
                 let mut round = ballot.round.clone();
-                round.hear(*node, word.clone());
-                let next = round.hear(*other, second.clone());
+                round.handle_reply(*node, word.clone());
+                let next = round.handle_reply(*other, second.clone());
                 let mut world = self.clone();
                 let now = &mut world.held[held];
                 match next {
-                    Next::Accept { value, .. } => {
+                    ProposerStep::Accept { value, .. } => {
                         (now.round, now.accepting) = (round, Some(value));
                         now.promises.clear();
                     }
-                    Next::Chosen if !now.done => {
+                    ProposerStep::Chosen if !now.done => {
                         now.done = true;
                         let value = ballot.accepting.clone().unwrap_or_default();
                         world.chosen.entry(ballot.slot).or_default().insert(value.to_vec());
-                        let at = ballot.ballot.node as usize;
+                        let at = ballot.ballot.proposer as usize;
                         if world.machines[at].log.len() as Slot + 1 == ballot.slot {
                             world.apply(at, value);
                         }
--- a/crates/control/consensus/tests/schedules.rs
+++ b/crates/control/consensus/tests/schedules.rs
@@ -1,7 +1,9 @@
 //! Ballots under seeded schedules: messages lost, doubled, late and out of order, machines that lose their disks, processes
 //! that end before their own disk knew of a ballot, and sets of seats that change. Whatever happens, one slot has one value.
 
-use limeway_consensus::{Acceptor, Ballot, Next, Node, Round, Seat, Slot, Word};
+use limeway_consensus::{
+    Acceptor, AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot, Voter,
+};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,9 +22,9 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Prepare(Slot, Ballot),
-    Accept(Slot, Ballot, ByteBuf),
-    Word(Slot, Ballot, Word),
+    Prepare(Slot, ProposalNumber),
+    Accept(Slot, ProposalNumber, ByteBuf),
+    Word(Slot, ProposalNumber, AcceptorReply),
 }
 
 struct Chance(u64);
@@ -46,36 +48,36 @@
     /// The highest round that its process has used: forgotten when it ends.
     used: u64,
     boot: u64,
-    round: Option<Round>,
+    round: Option<Proposer>,
     accepting: ByteBuf,
 }
 
 struct World {
     off: Off,
-    first: Vec<Seat>,
+    first: Vec<Voter>,
     machines: Vec<Machine>,
-    wire: Vec<(Node, Node, Message)>,
+    wire: Vec<(NodeId, NodeId, Message)>,
     /// Who has ever accepted what, by slot.
-    accepted: BTreeMap<(Slot, Ballot, Vec<u8>), BTreeSet<Seat>>,
+    accepted: BTreeMap<(Slot, ProposalNumber, Vec<u8>), BTreeSet<Voter>>,
     /// The values that a majority of the seats of a slot has accepted.
     chosen: BTreeMap<Slot, BTreeSet<Vec<u8>>>,
     next: u64,
 }
 
 /// A value is a number, and the seats from the next slot on if it changes them.
-fn value(number: u64, seats: &[Seat]) -> ByteBuf {
+fn value(number: u64, seats: &[Voter]) -> ByteBuf {
     let mut bytes = number.to_be_bytes().to_vec();
     for seat in seats {
         bytes.extend_from_slice(&seat.node.to_be_bytes());
-        bytes.extend_from_slice(&seat.life.to_be_bytes());
+        bytes.extend_from_slice(&seat.disk.to_be_bytes());
     }
     ByteBuf::from(bytes)
 }
 
-fn seats_of(bytes: &[u8]) -> Vec<Seat> {
-    let seat = |c: &[u8]| Seat {
+fn seats_of(bytes: &[u8]) -> Vec<Voter> {
+    let seat = |c: &[u8]| Voter {
         node: c[..4].iter().fold(0, |n, b| n << 8 | u32::from(*b)),
-        life: c[4..].iter().fold(0, |n, b| n << 8 | u64::from(*b)),
+        disk: c[4..].iter().fold(0, |n, b| n << 8 | u64::from(*b)),
     };
     bytes[8..].chunks(12).map(seat).collect()
 }
@@ -83,7 +85,7 @@
 impl World {
     fn new(machines: usize, spare: usize, off: Off) -> Self {
         let machine = |n: usize| Machine {
-            disk: Acceptor { life: if n < machines { 0 } else { 100 + n as u64 }, ..Acceptor::default() },
+            disk: Acceptor { disk: if n < machines { 0 } else { 100 + n as u64 }, ..Acceptor::default() },
             log: Vec::new(),
             used: 0,
             boot: 1 + n as u64,
@@ -92,7 +94,7 @@
         };
         World {
             off,
-            first: (0..machines as Node).map(|node| Seat { node, life: 0 }).collect(),
+            first: (0..machines as NodeId).map(|node| Voter { node, disk: 0 }).collect(),
             machines: (0..machines + spare).map(machine).collect(),
             wire: Vec::new(),
             accepted: BTreeMap::new(),
@@ -102,12 +104,12 @@
     }
 
     /// The seats for the slot after a log.
-    fn seats(&self, log: &[ByteBuf]) -> Vec<Seat> {
+    fn seats(&self, log: &[ByteBuf]) -> Vec<Voter> {
         log.iter().rev().map(|v| seats_of(v)).find(|s| !s.is_empty()).unwrap_or_else(|| self.first.clone())
     }
 
-    fn seat(&self, at: usize) -> Seat {
-        Seat { node: at as Node, life: self.machines[at].disk.life }
+    fn seat(&self, at: usize) -> Voter {
+        Voter { node: at as NodeId, disk: self.machines[at].disk.disk }
     }
 
     fn propose(&mut self, at: usize, chance: &mut Chance) {
@@ -129,18 +131,18 @@
             _ => Vec::new(),
         };
         let machine = &mut self.machines[at];
-        let round = machine.disk.open.promised.round.max(machine.used) + 1;
+        let round = machine.disk.slot_state.promised.round.max(machine.used) + 1;
         machine.used = round;
         let boot = if self.off == Off::Boots { 0 } else { machine.boot };
-        let ballot = Ballot { round, node: at as Node, boot };
+        let ballot = ProposalNumber { round, proposer: at as NodeId, incarnation: boot };
         let slot = machine.disk.applied + 1;
-        machine.round = Some(Round::new(slot, ballot, seats, value(self.next, &change)));
+        machine.round = Some(Proposer::new(slot, ballot, seats, value(self.next, &change)));
         self.send_all(at, &Message::Prepare(slot, ballot));
     }
 
     fn send_all(&mut self, from: usize, message: &Message) {
-        for to in 0..self.machines.len() as Node {
-            self.wire.push((from as Node, to, message.clone()));
+        for to in 0..self.machines.len() as NodeId {
+            self.wire.push((from as NodeId, to, message.clone()));
         }
     }
 
@@ -154,9 +156,9 @@
     /// A machine comes back with an empty disk.
     fn wipe(&mut self, at: usize) {
         self.restart(at);
-        let life = if self.off == Off::Lives { self.machines[at].disk.life } else { self.next };
+        let life = if self.off == Off::Lives { self.machines[at].disk.disk } else { self.next };
         let machine = &mut self.machines[at];
-        machine.disk = Acceptor { life, ..Acceptor::default() };
+        machine.disk = Acceptor { disk: life, ..Acceptor::default() };
         machine.log.clear();
     }
 
@@ -192,7 +194,7 @@
         }
     }
 
-    fn deliver(&mut self, from: Node, to: Node, message: Message) {
+    fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
         let at = to as usize;
         let seats = self.seats(&self.machines[at].log);
         let sits = seats.contains(&self.seat(at));
@@ -212,9 +214,9 @@
                     return;
                 }
                 let word = self.machines[at].disk.accept(slot, ballot, value.clone());
-                if let Word::Accepted { .. } = word {
+                if let AcceptorReply::Accepted { .. } = word {
                     let who = self.accepted.entry((slot, ballot, value.to_vec())).or_default();
-                    who.insert(Seat { node: to, life: self.machines[at].disk.life });
+                    who.insert(Voter { node: to, disk: self.machines[at].disk.disk });
                     let votes = who.iter().filter(|s| seats.contains(s)).count();
                     if votes > seats.len() / 2 {
                         self.chosen.entry(slot).or_default().insert(value.to_vec());
@@ -224,16 +226,16 @@
             }
             Message::Word(slot, ballot, word) => {
                 let machine = &mut self.machines[at];
-                let Some(round) = machine.round.as_mut().filter(|r| r.ballot == ballot && r.slot == slot)
+                let Some(round) = machine.round.as_mut().filter(|r| r.number == ballot && r.slot == slot)
                 else {
                     return;
                 };
-                match round.hear(from, word) {
-                    Next::Accept { value, .. } => {
+                match round.handle_reply(from, word) {
+                    ProposerStep::Accept { value, .. } => {
                         machine.accepting = value.clone();
                         self.send_all(at, &Message::Accept(slot, ballot, value));
                     }
-                    Next::Chosen => {
+                    ProposerStep::Chosen => {
                         let value = machine.accepting.clone();
                         if machine.log.len() as Slot + 1 == slot {
                             self.apply(at, &value);
@@ -325,14 +327,17 @@
 fn a_word_of_a_lost_disk_counts_no_more(#[case] off: Off, #[case] values: usize) {
     let mut world = World::new(3, 0, off);
     let seats = world.first.clone();
-    let ballots = [Ballot { round: 9, node: 0, boot: 1 }, Ballot { round: 5, node: 1, boot: 2 }];
+    let ballots = [
+        ProposalNumber { round: 9, proposer: 0, incarnation: 1 },
+        ProposalNumber { round: 5, proposer: 1, incarnation: 2 },
+    ];
     // Machine 0 holds ballot 9, and has the promise of machine 2 only.
-    world.machines[0].round = Some(Round::new(1, ballots[0], seats.clone(), value(1, &[])));
+    world.machines[0].round = Some(Proposer::new(1, ballots[0], seats.clone(), value(1, &[])));
     world.deliver(0, 2, Message::Prepare(1, ballots[0]));
     let early = world.wire.pop().expect("a promise");
     // Machine 2 loses its disk. Machine 1 wants its lower ballot chosen by itself and machine 2.
     world.wipe(2);
-    world.machines[1].round = Some(Round::new(1, ballots[1], seats, value(2, &[])));
+    world.machines[1].round = Some(Proposer::new(1, ballots[1], seats, value(2, &[])));
     for message in [Message::Prepare(1, ballots[1]), Message::Accept(1, ballots[1], value(2, &[]))] {
         for to in [1, 2] {
             world.deliver(1, to, message.clone());
--- a/crates/control/control-plane/src/ballots.rs
+++ b/crates/control/control-plane/src/ballots.rs
@@ -3,7 +3,7 @@
 use crate::messages::{Call, Reply};
 use crate::paper::After;
 use crate::{Action, Asked, Marker, Micros, Token};
-use limeway_consensus::{Ballot, Next, Node, Round, Slot, Word};
+use limeway_consensus::{AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot};
 use limeway_distribution::parcel::Want;
 use serde_bytes::ByteBuf;
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct Held {
     number: u64,
-    round: Round,
+    round: Proposer,
     /// What is to be accepted, once enough have promised.
     accepting: Option<ByteBuf>,
     until: Micros,
@@ -65,28 +65,34 @@
         now: Micros,
         token: Token,
         slot: Slot,
-        ballot: Ballot,
+        ballot: ProposalNumber,
         value: Option<ByteBuf>,
         out: &mut Vec<Action>,
     ) {
         match self.word(now, slot, ballot, value) {
-            word @ (Word::Promise { .. } | Word::Accepted { .. }) => {
+            word @ (AcceptorReply::Promised { .. } | AcceptorReply::Accepted { .. }) => {
                 self.ballots.yields = now + YIELDS;
                 self.write(vec![After::Word(token, word)], out);
             }
             word => {
-                if let Word::Behind(_) = word {
-                    self.fetch(now, ballot.node, out);
+                if let AcceptorReply::Behind(_) = word {
+                    self.fetch(now, ballot.proposer, out);
                 }
                 out.push(Action::Reply(token, Reply::Word(word)));
             }
         }
     }
 
-    fn word(&mut self, now: Micros, slot: Slot, ballot: Ballot, value: Option<ByteBuf>) -> Word {
+    fn word(
+        &mut self,
+        now: Micros,
+        slot: Slot,
+        ballot: ProposalNumber,
+        value: Option<ByteBuf>,
+    ) -> AcceptorReply {
         let behind = slot > self.acceptor.applied + 1;
         if slot > self.acceptor.applied && !behind && (self.seat().is_none() || !self.paper.sound(now)) {
-            return Word::Abstains;
+            return AcceptorReply::Abstained;
         }
         match value {
             None => self.acceptor.prepare(slot, ballot),
@@ -97,11 +103,11 @@
     /// Holds a ballot on the next slot.
     pub(crate) fn hold(&mut self, now: Micros, value: ByteBuf, out: &mut Vec<Action>) {
         let slot = self.acceptor.applied + 1;
-        let round = self.acceptor.open.promised.round.max(self.ballots.outbid) + 1;
-        let ballot = Ballot { round, node: self.start.me, boot: self.start.boot };
+        let round = self.acceptor.slot_state.promised.round.max(self.ballots.outbid) + 1;
+        let ballot = ProposalNumber { round, proposer: self.start.me, incarnation: self.start.boot };
         self.ballots.last += 1;
         let number = self.ballots.last;
-        let round = Round::new(slot, ballot, self.seats(), value);
+        let round = Proposer::new(slot, ballot, self.seats(), value);
         self.ballots.held = Some(Held { number, round, accepting: None, until: now + WORD_WAIT, open: 0 });
         self.canvass(now, number, Call::Prepare(slot, ballot), None, out);
     }
@@ -123,11 +129,11 @@
             self.send(seat.node, call.clone(), WORD_WAIT, Asked::Ballot(number, seat.node), out);
         }
         let Some(held) = &mut self.ballots.held else { return };
-        let (slot, ballot) = (held.round.slot, held.round.ballot);
+        let (slot, ballot) = (held.round.slot, held.round.number);
         (held.until, held.open) = (now + WORD_WAIT, open);
         if votes {
             match self.word(now, slot, ballot, value) {
-                word @ (Word::Promise { .. } | Word::Accepted { .. }) => {
+                word @ (AcceptorReply::Promised { .. } | AcceptorReply::Accepted { .. }) => {
                     self.write(vec![After::Own(number, word)], out);
                 }
                 word => {
@@ -142,7 +148,7 @@
         &mut self,
         now: Micros,
         ballot: u64,
-        node: Node,
+        node: NodeId,
         reply: Option<Reply>,
         out: &mut Vec<Action>,
     ) {
@@ -162,12 +168,19 @@
     }
 
     /// A word on the ballot of this number has come.
-    pub(crate) fn heard(&mut self, now: Micros, number: u64, from: Node, word: Word, out: &mut Vec<Action>) {
+    pub(crate) fn heard(
+        &mut self,
+        now: Micros,
+        number: u64,
+        from: NodeId,
+        word: AcceptorReply,
+        out: &mut Vec<Action>,
+    ) {
         let Some(held) = self.ballots.held.as_mut().filter(|h| h.number == number) else { return };
-        let (slot, ballot) = (held.round.slot, held.round.ballot);
-        match held.round.hear(from, word) {
-            Next::Wait => {}
-            Next::Accept { value, .. } => {
+        let (slot, ballot) = (held.round.slot, held.round.number);
+        match held.round.handle_reply(from, word) {
+            ProposerStep::Wait => {}
+            ProposerStep::Accept { value, .. } => {
                 held.accepting = Some(value.clone());
                 // Words that are still to come on the promise count no more.
                 self.ballots.last += 1;
@@ -175,7 +188,7 @@
                 held.number = number;
                 self.canvass(now, number, Call::Accept(slot, ballot, value.clone()), Some(value), out);
             }
-            Next::Chosen => {
+            ProposerStep::Chosen => {
                 let value = held.accepting.take().unwrap_or_default();
                 (self.ballots.held, self.ballots.losses, self.ballots.rest) = (None, 0, 0);
                 self.learn(now, slot, &value, out);
@@ -185,14 +198,14 @@
                     self.send(node, call, WORD_WAIT, Asked::Chosen(node, slot), out);
                 }
             }
-            Next::CatchUp(_) => {
+            ProposerStep::CatchUp(_) => {
                 self.ballots.held = None;
                 self.fetch(now, from, out);
             }
-            Next::Outbid(other) => {
+            ProposerStep::Preempted(other) => {
                 self.ballots.outbid = self.ballots.outbid.max(other.round);
                 self.lost(now);
-                if other.node != self.start.me {
+                if other.proposer != self.start.me {
                     // The other one's ballot goes on; a machine without a seat hears of it only so.
                     self.ballots.yields = now + YIELDS;
                 }
@@ -279,7 +292,7 @@
     }
 
     /// Has a machine hand over what this one lacks, one at a time.
-    pub(crate) fn fetch(&mut self, now: Micros, from: Node, out: &mut Vec<Action>) {
+    pub(crate) fn fetch(&mut self, now: Micros, from: NodeId, out: &mut Vec<Action>) {
         if from == self.start.me || self.ballots.fetching.is_some_and(|until| now < until) {
             return;
         }
@@ -291,7 +304,7 @@
     pub(crate) fn fetched(
         &mut self,
         now: Micros,
-        (from, want): (Node, Want),
+        (from, want): (NodeId, Want),
         reply: Option<Reply>,
         out: &mut Vec<Action>,
     ) {
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -6,7 +6,7 @@
 
 use crate::messages::{Call, Ping, Pong, Reply};
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
-use limeway_consensus::{Node, Seat, Slot};
+use limeway_consensus::{NodeId, Slot, Voter};
 use limeway_membership::{Claim, Presence};
 use limeway_routing_config::Op;
 use limeway_service_registry::Report;
@@ -39,9 +39,9 @@
     /// By which slot all is applied that may have been chosen before the round.
     target: Slot,
     /// The furthest machine, and whether it has something pending after that.
-    newest: (Slot, Node),
+    newest: (Slot, NodeId),
     pending: bool,
-    open: BTreeSet<Node>,
+    open: BTreeSet<NodeId>,
     concluded: bool,
 }
 
@@ -141,7 +141,7 @@
             }
         }
         let sound = self.seat().is_some() && self.paper.sound(now);
-        let pending = sound && self.acceptor.open.accepted.is_some();
+        let pending = sound && self.acceptor.slot_state.accepted.is_some();
         self.contact.last += 1;
         let number = self.contact.last;
         let slot = self.board.state.slot;
@@ -179,7 +179,7 @@
         &mut self,
         now: Micros,
         number: u64,
-        node: Node,
+        node: NodeId,
         reply: Option<Reply>,
         out: &mut Vec<Action>,
     ) {
@@ -193,12 +193,12 @@
         self.missed.remove(&node);
         self.show(now, pong.me);
         self.votes.hear(now, node, pong.me.boot, &pong.held);
-        let mut heard: Vec<Node> = self.seats().iter().map(|s| s.node).collect();
+        let mut heard: Vec<NodeId> = self.seats().iter().map(|s| s.node).collect();
         heard.extend(&self.board.state.former);
         heard.retain(|n| *n != self.start.me);
         self.votes.complete(&heard);
         self.hear_all(now, &pong.servers, false);
-        let seated = self.seats().contains(&Seat { node, life: pong.me.life });
+        let seated = self.seats().contains(&Voter { node, disk: pong.me.life });
         let Some(round) = self.contact.rounds.get_mut(&number) else { return };
         round.open.remove(&node);
         if seated {
@@ -304,7 +304,7 @@
             return;
         }
         (shown.last, shown.standing) = (now, standing);
-        let seat = Seat { node: standing.node, life: standing.life };
+        let seat = Voter { node: standing.node, disk: standing.life };
         if standing.kept >= self.board.state.slot && !self.board.state.core.contains(&seat) {
             // A newcomer that has all.
             self.contact.sets = true;
@@ -313,7 +313,7 @@
             self.votes.leaves(standing.node);
         }
         let (seats, me) = (self.seats(), self.start.me);
-        let gone = |n: &Node, s: &Shown| {
+        let gone = |n: &NodeId, s: &Shown| {
             *n != me && now > s.last + 40 * SHOWS && !seats.iter().any(|seat| seat.node == *n)
         };
         self.shown.retain(|n, s| !gone(n, s));
@@ -341,7 +341,7 @@
         }
         Pong {
             me: self.standing(now),
-            pending: self.acceptor.open.accepted.is_some(),
+            pending: self.acceptor.slot_state.accepted.is_some(),
             held: self.duties.held(now),
             given,
             servers: if ping.all { self.board.watch.all(now) } else { Vec::new() },
@@ -350,10 +350,10 @@
 
     /// Whether the holder of a seat has shown itself lately, and is in touch itself. A machine that has lost the disk that its
     /// seat is of holds it no more.
-    pub(crate) fn well(&self, now: Micros, seat: &Seat) -> bool {
+    pub(crate) fn well(&self, now: Micros, seat: &Voter) -> bool {
         self.shown.get(&seat.node).is_some_and(|s| {
             now < s.last + SHOWS
-                && s.standing.life == seat.life
+                && s.standing.life == seat.disk
                 && s.standing.touch
                 && s.standing.sound
                 && !s.standing.leaving
--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Reply;
 use crate::{Marker, Micros};
-use limeway_consensus::Node;
+use limeway_consensus::NodeId;
 use limeway_membership::{Claim, GROUPS};
 use limeway_quota::count::Count;
 use limeway_quota::Request;
@@ -21,7 +21,7 @@
         let me = self.start.me;
         let seats = self.board.state.core.iter();
         let live = seats.filter(|s| s.node == me || self.well(now, s)).map(|s| s.node);
-        let live: Vec<Node> = live.collect();
+        let live: Vec<NodeId> = live.collect();
         self.duties.claims(now, me, self.start.boot, &live, &self.votes)
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(crate) fn grant(&mut self, now: Micros, node: Node, requests: &[Request]) -> Reply {
+    pub(crate) fn grant(&mut self, now: Micros, node: NodeId, requests: &[Request]) -> Reply {
         // Who is not agreed to be a limiter would not be asked by the next holder of a count.
         if !self.board.state.doors.contains(&node) {
             return Reply::Not;
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -23,7 +23,7 @@
 mod seats;
 mod servers;
 
-use limeway_consensus::{Acceptor, Life, Node, Seat, Slot};
+use limeway_consensus::{Acceptor, DiskIncarnation, NodeId, Slot, Voter};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::Board;
 use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone)]
 pub struct Start {
     /// Its address as a number.
-    pub me: Node,
+    pub me: NodeId,
     /// The life of its process, drawn by chance; never 0.
     pub boot: u64,
     /// How long an operator sends a call again.
@@ -73,7 +73,7 @@
     /// Pause between two reports of a server.
     pub heartbeat: Micros,
     /// Machines that the settings file names.
-    pub seeds: Vec<Node>,
+    pub seeds: Vec<NodeId>,
     /// The whole system starts for the first time, and its disk is empty.
     pub founder: bool,
     /// Its part in ballots, from disk.
@@ -98,7 +98,7 @@
     /// Time has passed.
     Tick,
     /// The settings file names these machines now.
-    Seeds(Vec<Node>),
+    Seeds(Vec<NodeId>),
     /// The process is told to end.
     Leave,
 }
@@ -148,7 +148,7 @@
         /// Comes back with the answer.
         ticket: Ticket,
         /// Whom.
-        to: Node,
+        to: NodeId,
         /// What.
         call: Call,
         /// How long an answer counts.
@@ -194,20 +194,20 @@
     acceptor: Acceptor,
     plan: Rc<Plan>,
     /// The seats when this machine last looked.
-    core: Vec<Seat>,
+    core: Vec<Voter>,
     roster: Roster,
     /// Members that renew their lease here; `age` is the moment at which they were heard.
-    direct: BTreeMap<Node, Presence>,
+    direct: BTreeMap<NodeId, Presence>,
     votes: Votes,
     duties: Duties,
     counts: [Option<Count>; GROUPS],
     /// Members not heard of, since when.
-    away: BTreeMap<Node, Micros>,
+    away: BTreeMap<NodeId, Micros>,
     /// Servers whose beats are to be told in the next round.
     beats: BTreeSet<String>,
-    shown: BTreeMap<Node, Shown>,
+    shown: BTreeMap<NodeId, Shown>,
     /// Others whose last round was not answered: they are asked for all they know.
-    missed: BTreeSet<Node>,
+    missed: BTreeSet<NodeId>,
     /// When the last round began that made this machine sure of its state.
     settled: Micros,
     leaving: Option<Micros>,
@@ -226,10 +226,10 @@
 /// What an answer is to.
 #[derive(Debug, Clone, Copy)]
 enum Asked {
-    Round(u64, Node),
-    Ballot(u64, Node),
-    Fetch(Node, Want),
-    Chosen(Node, Slot),
+    Round(u64, NodeId),
+    Ballot(u64, NodeId),
+    Fetch(NodeId, Want),
+    Chosen(NodeId, Slot),
     Spread(u64),
 }
 
@@ -240,8 +240,8 @@
         board.state = start.state.clone();
         if start.founder && board.state.core.is_empty() {
             // The same list for all at the first start, and never again: what the settings file says later decides nothing.
-            let seeds: BTreeSet<Node> = start.seeds.iter().copied().collect();
-            board.state.core = seeds.into_iter().map(|node| Seat { node, life: 0 }).collect();
+            let seeds: BTreeSet<NodeId> = start.seeds.iter().copied().collect();
+            board.state.core = seeds.into_iter().map(|node| Voter { node, disk: 0 }).collect();
         }
         let plan = board.state.plan_from(&Plan::default()).unwrap_or_default();
         let mut marker = Marker {
@@ -361,7 +361,7 @@
         all.into_iter().flatten().min().unwrap_or(self.contact.next)
     }
 
-    fn send(&mut self, to: Node, call: Call, wait: Micros, asked: Asked, out: &mut Vec<Action>) {
+    fn send(&mut self, to: NodeId, call: Call, wait: Micros, asked: Asked, out: &mut Vec<Action>) {
         self.last_ticket += 1;
         self.asked.insert(self.last_ticket, asked);
         out.push(Action::Send { ticket: self.last_ticket, to, call, wait });
@@ -374,7 +374,7 @@
     }
 
     /// The seats that vote on the next slot; none on a machine that has heard of no core yet.
-    fn seats(&self) -> Vec<Seat> {
+    fn seats(&self) -> Vec<Voter> {
         self.board.state.core.clone()
     }
 
@@ -382,20 +382,20 @@
         self.seats().len() / 2 + 1
     }
 
-    fn life(&self) -> Life {
-        self.acceptor.life
+    fn life(&self) -> DiskIncarnation {
+        self.acceptor.disk
     }
 
     /// This machine's seat, if it holds one.
-    fn seat(&self) -> Option<Seat> {
-        let own = Seat { node: self.start.me, life: self.life() };
+    fn seat(&self) -> Option<Voter> {
+        let own = Voter { node: self.start.me, disk: self.life() };
         self.seats().into_iter().find(|s| *s == own)
     }
 
     /// The other machines that this one talks to: those that hold a seat, and newcomers that have shown themselves. A newcomer
     /// that has heard of no core begins with those that its settings file names.
-    fn others(&self) -> Vec<Node> {
-        let mut all: BTreeSet<Node> = self.seats().iter().map(|s| s.node).collect();
+    fn others(&self) -> Vec<NodeId> {
+        let mut all: BTreeSet<NodeId> = self.seats().iter().map(|s| s.node).collect();
         if all.is_empty() {
             all.extend(&self.start.seeds);
         }
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -1,6 +1,6 @@
 //! What processes of the system say to each other.
 
-use limeway_consensus::{Ballot, Life, Node, Slot, Word};
+use limeway_consensus::{AcceptorReply, DiskIncarnation, NodeId, ProposalNumber, Slot};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Feed, Poll, Steps};
 use limeway_membership::{Claim, Held, Presence};
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Call {
     /// A ballot's holder wants a promise.
-    Prepare(Slot, Ballot),
+    Prepare(Slot, ProposalNumber),
     /// A ballot's holder wants a value accepted.
-    Accept(Slot, Ballot, ByteBuf),
+    Accept(Slot, ProposalNumber, ByteBuf),
     /// A value is chosen. Answered with [`Reply::Done`] once it is on disk there, and else with [`Reply::Not`].
     Chosen(Slot, ByteBuf),
     /// What leads to the state, or the next piece of it.
@@ -29,14 +29,14 @@
     /// A limiter wants a unit of a tenant for one request that it has now, of what its neighbour holds.
     Unit(String),
     /// A limiter wants units.
-    Ask(Node, Vec<Request>),
+    Ask(NodeId, Vec<Request>),
 }
 
 /// An answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Call::Prepare`] and [`Call::Accept`].
-    Word(Word),
+    Word(AcceptorReply),
     /// To [`Call::Fetch`].
     Steps(Steps),
     /// To [`Call::Ping`].
@@ -56,10 +56,10 @@
 pub struct Standing {
     /// The machine.
     #[serde(rename = "n")]
-    pub node: Node,
+    pub node: NodeId,
     /// The life of its disk.
     #[serde(rename = "l")]
-    pub life: Life,
+    pub life: DiskIncarnation,
     /// The life of its process.
     #[serde(rename = "o")]
     pub boot: u64,
--- a/crates/control/control-plane/src/paper.rs
+++ b/crates/control/control-plane/src/paper.rs
@@ -6,7 +6,7 @@
 
 use crate::messages::Reply;
 use crate::{Action, Job, Marker, Micros, Record, Token};
-use limeway_consensus::{Slot, Word};
+use limeway_consensus::{AcceptorReply, Slot};
 use serde_bytes::ByteBuf;
 use std::collections::VecDeque;
 
@@ -21,9 +21,9 @@
 #[derive(Debug)]
 pub(crate) enum After {
     /// A voter's word to another machine.
-    Word(Token, Word),
+    Word(Token, AcceptorReply),
     /// The own word on the ballot of this number.
-    Own(u64, Word),
+    Own(u64, AcceptorReply),
     /// A chosen value is on disk here.
     Kept(Token),
 }
@@ -157,7 +157,9 @@
     pub(crate) fn unkept(&mut self, after: Vec<After>, out: &mut Vec<Action>) {
         for after in after {
             match after {
-                After::Word(token, _) => out.push(Action::Reply(token, Reply::Word(Word::Abstains))),
+                After::Word(token, _) => {
+                    out.push(Action::Reply(token, Reply::Word(AcceptorReply::Abstained)))
+                }
                 After::Own(ballot, _) => self.word_less(self.paper.now(), ballot),
                 After::Kept(token) => out.push(Action::Reply(token, Reply::Not)),
             }
--- a/crates/control/control-plane/src/seats.rs
+++ b/crates/control/control-plane/src/seats.rs
@@ -11,7 +11,7 @@
 //! does. A machine that leaves goes on until its seat has passed on, or there is nobody to take it.
 
 use crate::{Action, Marker, Micros, Shown, CORE_MOST, SHOWS, TOUCH};
-use limeway_consensus::{Node, Seat};
+use limeway_consensus::{NodeId, Voter};
 use limeway_routing_config::Op;
 use std::collections::BTreeSet;
 
@@ -65,7 +65,7 @@
     }
 
     /// A machine that may be given a seat.
-    pub(crate) fn newcomer(&self) -> Option<Seat> {
+    pub(crate) fn newcomer(&self) -> Option<Voter> {
         let seats = &self.board.state.core;
         let fits = |s: &&Shown| {
             s.standing.counted
@@ -74,13 +74,13 @@
                 && (s.last >= s.first + NEW || seats.iter().any(|old| old.node == s.standing.node))
                 && self.paper.now() < s.last + SHOWS
         };
-        let seat = |s: &Shown| Seat { node: s.standing.node, life: s.standing.life };
-        let new = |s: &Seat| !seats.contains(s) && s.node != self.start.me;
-        let of_old = |s: &Seat| seats.iter().any(|old| old.node == s.node);
+        let seat = |s: &Shown| Voter { node: s.standing.node, disk: s.standing.life };
+        let new = |s: &Voter| !seats.contains(s) && s.node != self.start.me;
+        let of_old = |s: &Voter| seats.iter().any(|old| old.node == s.node);
         let mut all: Vec<&Shown> = self.shown.values().filter(fits).collect();
         // The one that has most.
         all.sort_by_key(|s| std::cmp::Reverse(s.standing.kept));
-        let all: Vec<Seat> = all.into_iter().map(seat).filter(new).collect();
+        let all: Vec<Voter> = all.into_iter().map(seat).filter(new).collect();
         all.iter().copied().find(of_old).or(all.first().copied())
     }
 
@@ -100,7 +100,7 @@
             return None;
         }
         let before = seats.iter().position(|s| s.node == new.node);
-        let gone = |s: &Seat| {
+        let gone = |s: &Voter| {
             s.node != self.start.me
                 && match self.shown.get(&s.node) {
                     Some(shown) => shown.standing.leaving || now > shown.last + DEAD,
@@ -117,7 +117,7 @@
             None => return self.forget(now),
         };
         seats.sort_unstable();
-        let mut all: BTreeSet<Node> = self.board.state.former.iter().copied().collect();
+        let mut all: BTreeSet<NodeId> = self.board.state.former.iter().copied().collect();
         all.extend(former);
         log::info!(node = new.node; "a newcomer is to have a seat");
         self.orders.former_since = None;
@@ -136,10 +136,10 @@
             first && s.standing.kept >= slot && now < s.last + TOUCH
         };
         let shown = self.shown.values().filter(fresh);
-        let shown = shown.map(|s| Seat { node: s.standing.node, life: s.standing.life });
-        let mut all: BTreeSet<Seat> = seats.iter().copied().collect();
+        let shown = shown.map(|s| Voter { node: s.standing.node, disk: s.standing.life });
+        let mut all: BTreeSet<Voter> = seats.iter().copied().collect();
         all.extend(shown.filter(|new| !seats.iter().any(|s| s.node == new.node)));
-        let all: Vec<Seat> = all.into_iter().take(CORE_MOST).collect();
+        let all: Vec<Voter> = all.into_iter().take(CORE_MOST).collect();
         (all != seats).then_some(Op::Core { seats: all, former: Vec::new() })
     }
 
@@ -156,15 +156,15 @@
 
     /// Limiters that have come and may hold quota, and those that have been away for long.
     pub(crate) fn next_doors(&mut self, now: Micros) -> Option<Op> {
-        let live: BTreeSet<Node> = self.roster.live(now).map(|(n, ..)| n).collect();
+        let live: BTreeSet<NodeId> = self.roster.live(now).map(|(n, ..)| n).collect();
         let doors = &self.board.state.doors;
         self.away.retain(|n, _| doors.contains(n) && !live.contains(n));
         for node in doors.difference(&live) {
             self.away.entry(*node).or_insert(now);
         }
-        let add: Vec<Node> = live.difference(doors).copied().collect();
+        let add: Vec<NodeId> = live.difference(doors).copied().collect();
         let gone = self.away.iter().filter(|(_, since)| now > **since + FORGOTTEN);
-        let drop: Vec<Node> = gone.map(|(n, _)| *n).collect();
+        let drop: Vec<NodeId> = gone.map(|(n, _)| *n).collect();
         let news = !add.is_empty() || !drop.is_empty();
         (news && self.proposes(now)).then_some(Op::Doors { add, drop })
     }
--- a/crates/control/control-plane/src/servers.rs
+++ b/crates/control/control-plane/src/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Call;
 use crate::{Action, Asked, Marker, Micros, Token, Told};
-use limeway_consensus::Node;
+use limeway_consensus::NodeId;
 use limeway_service_registry::{Heard, Phase, Report};
 
 /// Others hear of a step within it.
@@ -61,8 +61,8 @@
     }
 
     fn spread(&mut self, token: Option<Token>, report: Report, out: &mut Vec<Action>) {
-        let seats: Vec<Node> = self.seats().iter().map(|s| s.node).collect();
-        let others: Vec<Node> = seats.iter().copied().filter(|n| *n != self.start.me).collect();
+        let seats: Vec<NodeId> = self.seats().iter().map(|s| s.node).collect();
+        let others: Vec<NodeId> = seats.iter().copied().filter(|n| *n != self.start.me).collect();
         let need = seats.len() / 2 + 1;
         let have = usize::from(self.seat().is_some());
         let number = self.last_ticket + 1;
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -2,7 +2,7 @@
 //!
 //! `data/encodings.txt` holds a line per value: its name and its CBOR in hexadecimal, written by landing 14.
 
-use limeway_consensus::{Ballot, Open, Seat, Word};
+use limeway_consensus::{AcceptorReply, ProposalNumber, SlotState, Voter};
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
 use limeway_distribution::parcel::{Have, Label, Part, Want};
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
@@ -42,8 +42,8 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 1, 2, last), port)
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { round, node: 3, boot: 77 }
+fn ballot(round: u64) -> ProposalNumber {
+    ProposalNumber { round, proposer: 3, incarnation: 77 }
 }
 
 fn standing() -> Standing {
@@ -109,7 +109,7 @@
 }
 
 fn operations() -> Vec<(&'static str, Op)> {
-    let seats = vec![Seat { node: 1, life: 0 }, Seat { node: 2, life: 0 }, Seat { node: 3, life: 71 }];
+    let seats = vec![Voter { node: 1, disk: 0 }, Voter { node: 2, disk: 0 }, Voter { node: 3, disk: 71 }];
     vec![
         ("op-core", Op::Core { seats, former: vec![4] }),
         ("op-config", Op::from(order(1, 0))),
@@ -175,12 +175,12 @@
         members_change: 7,
         members,
     };
-    check("reply-promise", &Reply::Word(Word::Promise { life: 9, accepted }));
-    check("reply-accepted", &Reply::Word(Word::Accepted { life: 9 }));
-    check("reply-higher", &Reply::Word(Word::Higher(ballot(6))));
-    check("reply-decided", &Reply::Word(Word::Decided(13)));
-    check("reply-behind", &Reply::Word(Word::Behind(11)));
-    check("reply-abstains", &Reply::Word(Word::Abstains));
+    check("reply-promise", &Reply::Word(AcceptorReply::Promised { disk: 9, accepted }));
+    check("reply-accepted", &Reply::Word(AcceptorReply::Accepted { disk: 9 }));
+    check("reply-higher", &Reply::Word(AcceptorReply::Rejected(ballot(6))));
+    check("reply-decided", &Reply::Word(AcceptorReply::Decided(13)));
+    check("reply-behind", &Reply::Word(AcceptorReply::Behind(11)));
+    check("reply-abstains", &Reply::Word(AcceptorReply::Abstained));
     check("reply-steps-ops", &Reply::Steps(Steps::Ops(vec![ByteBuf::from(vec![0, 1])])));
     check("reply-steps-part", &Reply::Steps(Steps::Part(part())));
     check("reply-pong", &Reply::Pong(pong));
@@ -202,7 +202,7 @@
         state.apply(&operation);
         check(&format!("state-after-{name}"), &state);
     }
-    let open = Open { promised: ballot(4), accepted: Some((ballot(3), ByteBuf::from(vec![1, 2, 3]))) };
+    let open = SlotState { promised: ballot(4), accepted: Some((ballot(3), ByteBuf::from(vec![1, 2, 3]))) };
     check("open", &open);
-    check("seat", &Seat { node: 3, life: 71 });
+    check("seat", &Voter { node: 3, disk: 71 });
 }
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -71,6 +71,6 @@
 
 /// The operation that seats these machines.
 pub fn seats(machines: &[u32]) -> Op {
-    let seats = machines.iter().map(|node| limeway_consensus::Seat { node: *node, life: 0 });
+    let seats = machines.iter().map(|node| limeway_consensus::Voter { node: *node, disk: 0 });
     Op::Core { seats: seats.collect(), former: Vec::new() }
 }
--- a/crates/control/routing-config/src/state.rs
+++ b/crates/control/routing-config/src/state.rs
@@ -4,7 +4,7 @@
 use crate::items::{Changes, Entry, Items, Step};
 use crate::plan::Plan;
 use crate::Version;
-use limeway_consensus::Seat;
+use limeway_consensus::Voter;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -27,7 +27,7 @@
     /// The seats of the core from the next slot on, and the machines that held one not long ago: they may still hold duties.
     Core {
         /// Who votes.
-        seats: Vec<Seat>,
+        seats: Vec<Voter>,
         /// Who did.
         former: Vec<u32>,
     },
@@ -160,7 +160,7 @@
     /// the first to take theirs back must not end the other's.
     pub evacuated: BTreeMap<String, u32>,
     /// The seats of the core; empty before they are agreed.
-    pub core: Vec<Seat>,
+    pub core: Vec<Voter>,
     /// Machines that held a seat not long ago.
     #[serde(default)]
     pub former: Vec<u32>,
--- a/crates/control/storage/src/file.rs
+++ b/crates/control/storage/src/file.rs
@@ -5,7 +5,7 @@
 use crate::medium::{Medium, Name, Seen, Watched};
 use crate::{Found, Record, VaultError};
 use error_stack::{Report, ResultExt};
-use limeway_consensus::{Life, Node};
+use limeway_consensus::{DiskIncarnation, NodeId};
 use redb::{Database, StorageBackend, WriteTransaction};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
@@ -42,8 +42,8 @@
 /// Whose file it is, and how often one has taken the place of another.
 #[derive(Clone, Copy)]
 struct Owner {
-    node: Node,
-    life: Life,
+    node: NodeId,
+    life: DiskIncarnation,
     turn: u64,
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// Reads a file and brings it to this format.
-fn load(medium: &dyn Medium, name: Name, node: Node) -> Outcome<Loaded> {
+fn load(medium: &dyn Medium, name: Name, node: NodeId) -> Outcome<Loaded> {
     with_file(medium.open(name).change_context(VaultError::Open)?, |db| {
         let contents = {
             let read = db.begin_read().change_context(VaultError::Read)?;
@@ -153,7 +153,11 @@
     /// Opens the file in a folder, or makes one for `node` with the life `fresh`. A spoilt file is set aside and **never** taken for
     /// an empty one: the machine then counts as one that lost its disk. [`VaultError::Open`] means that the disk refuses for now:
     /// no file is given up, and the call may be made again.
-    pub fn open(medium: impl Medium + 'static, node: Node, fresh: Life) -> Outcome<(Self, Found)> {
+    pub fn open(
+        medium: impl Medium + 'static,
+        node: NodeId,
+        fresh: DiskIncarnation,
+    ) -> Outcome<(Self, Found)> {
         let mut loaded: Option<(Name, Loaded)> = None;
         for name in [Name::First, Name::Second] {
             if !medium.exists(name).change_context(VaultError::Open)? {
--- a/crates/control/storage/src/format.rs
+++ b/crates/control/storage/src/format.rs
@@ -2,7 +2,7 @@
 
 use crate::{Found, Record, VaultError, Votes};
 use error_stack::{Report, ResultExt};
-use limeway_consensus::{Life, Node, Open, Slot};
+use limeway_consensus::{DiskIncarnation, NodeId, Slot, SlotState};
 use redb::{ReadTransaction, ReadableTable, TableDefinition, WriteTransaction};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -25,8 +25,8 @@
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Identity {
     pub format: u32,
-    pub node: Node,
-    pub own: Life,
+    pub node: NodeId,
+    pub own: DiskIncarnation,
     /// Grows with each file that takes the place of another.
     #[serde(default)]
     pub turn: u64,
@@ -41,7 +41,7 @@
 #[derive(Deserialize)]
 struct VotesBefore {
     applied: Slot,
-    open: Open,
+    open: SlotState,
     votes: bool,
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Reads a file of this format or the one before it.
-pub(crate) fn read(read: &ReadTransaction, node: Node) -> Outcome<Contents> {
+pub(crate) fn read(read: &ReadTransaction, node: NodeId) -> Outcome<Contents> {
     let rows = read.open_table(ROWS).change_context(VaultError::Read)?;
     let row = |name: &str| -> Outcome<Option<Vec<u8>>> {
         Ok(rows.get(name).change_context(VaultError::Read)?.map(|v| v.value().to_vec()))
@@ -160,14 +160,19 @@
 }
 
 /// Writes whose file this is, and makes all tables.
-pub(crate) fn put_identity(write: &WriteTransaction, node: Node, own: Life, turn: u64) -> Outcome<()> {
+pub(crate) fn put_identity(
+    write: &WriteTransaction,
+    node: NodeId,
+    own: DiskIncarnation,
+    turn: u64,
+) -> Outcome<()> {
     put_rows(write, &[("identity", Some(pack(&Identity { format: FORMAT, node, own, turn })?))])?;
     write.open_table(SNAPSHOT).change_context(VaultError::Write)?;
     write.open_table(OPS).change_context(VaultError::Write).map(drop)
 }
 
 /// Brings a file of the format before to this one, in one transaction with whatever else is in it.
-pub(crate) fn convert(write: &WriteTransaction, node: Node, contents: &Contents) -> Outcome<()> {
+pub(crate) fn convert(write: &WriteTransaction, node: NodeId, contents: &Contents) -> Outcome<()> {
     put_identity(write, node, contents.found.votes.life, 0)?;
     put_rows(write, &[("state", None)])?;
     let votes = (!contents.found.empty).then(|| pack(&contents.found.votes)).transpose()?;
--- a/crates/control/storage/src/lib.rs
+++ b/crates/control/storage/src/lib.rs
@@ -54,7 +54,7 @@
 /// What a [`Medium`] gives for a file.
 pub use redb::StorageBackend;
 
-use limeway_consensus::{Life, Open, Slot};
+use limeway_consensus::{DiskIncarnation, Slot, SlotState};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -94,11 +94,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Votes {
     /// This disk's life.
-    pub life: Life,
+    pub life: DiskIncarnation,
     /// Last slot whose operation is applied; the log reaches at least as far.
     pub applied: Slot,
     /// What is promised and accepted for the slot after it.
-    pub open: Open,
+    pub open: SlotState,
 }
 
 /// What is written together.
--- a/crates/control/storage/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What is on disk comes back; what is torn or foreign is set aside and never taken for an empty disk's fresh start.
 
-use limeway_consensus::{Acceptor, Ballot};
+use limeway_consensus::{Acceptor, ProposalNumber};
 use limeway_storage::{Folder as Disk, Found, Record, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
@@ -28,10 +28,14 @@
 }
 
 fn voted(vault: &mut Vault, life: u64) -> Votes {
-    let mut acceptor = Acceptor { life, ..Acceptor::default() };
+    let mut acceptor = Acceptor { disk: life, ..Acceptor::default() };
     acceptor.advance(4);
-    acceptor.accept(5, Ballot { round: 3, node: 1, boot: 1 }, ByteBuf::from(vec![1, 2, 3]));
-    let votes = Votes { life, applied: acceptor.applied, open: acceptor.open };
+    acceptor.accept(
+        5,
+        ProposalNumber { round: 3, proposer: 1, incarnation: 1 },
+        ByteBuf::from(vec![1, 2, 3]),
+    );
+    let votes = Votes { life, applied: acceptor.applied, open: acceptor.slot_state };
     let record = Record { votes: votes.clone(), ops: Vec::new(), snapshot: Some((4, vec![9; 100])) };
     vault.write(&record).expect("kept");
     votes
--- a/crates/control/storage/tests/kept.rs
+++ b/crates/control/storage/tests/kept.rs
@@ -1,6 +1,6 @@
 //! A state file as landing 14 wrote it, `data/state.redb`, is read with all that it holds.
 
-use limeway_consensus::{Ballot, Open};
+use limeway_consensus::{ProposalNumber, SlotState};
 use limeway_storage::{Folder, Found, Vault, Votes};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
@@ -29,9 +29,10 @@
 }
 
 fn expected() -> Found {
-    let accepted = Some((Ballot { round: 3, node: 1, boot: 5 }, ByteBuf::from(vec![1, 2, 3])));
-    let promised = Ballot { round: 4, node: 2, boot: 6 };
-    let votes = Votes { life: DISK, applied: 6, open: Open { promised, accepted } };
+    let accepted =
+        Some((ProposalNumber { round: 3, proposer: 1, incarnation: 5 }, ByteBuf::from(vec![1, 2, 3])));
+    let promised = ProposalNumber { round: 4, proposer: 2, incarnation: 6 };
+    let votes = Votes { life: DISK, applied: 6, open: SlotState { promised, accepted } };
     let state = (0..100_000_u32).map(|at| at as u8).collect();
     Found { votes, snapshot: Some((4, state)), ops: vec![(5, vec![50; 70_000]), (6, vec![60])], empty: false }
 }
--- a/crates/control/storage/tests/log/rules.rs
+++ b/crates/control/storage/tests/log/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{op, state, NODE};
 use crate::sim::{Loss, Sim, Trouble};
-use limeway_consensus::{Ballot, Open};
+use limeway_consensus::{ProposalNumber, SlotState};
 use limeway_storage::{
     Record, Vault, VaultError, Votes, BYTES_DUE, OPS_DUE, OPS_MOST, SIZE_LEAST, SPACE_MOST,
 };
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 fn votes(applied: u64) -> Votes {
-    Votes { life: 42, applied, open: Open::default() }
+    Votes { life: 42, applied, open: SlotState::default() }
 }
 
 /// Operations from one slot to another.
@@ -72,7 +72,7 @@
 #[derive(Serialize)]
 struct VotesBefore {
     applied: u64,
-    open: Open,
+    open: SlotState,
     known: BTreeMap<u32, u64>,
     votes: bool,
 }
@@ -84,11 +84,11 @@
 }
 
 /// A file as the format before had it.
-fn before(format: u32, votes: bool) -> (Sim, Open) {
+fn before(format: u32, votes: bool) -> (Sim, SlotState) {
     const ROWS: TableDefinition<'static, &'static str, &'static [u8]> = TableDefinition::new("state");
     let sim = Sim::new(Trouble::None);
-    let ballot = Ballot { round: 3, node: 1, boot: 0 };
-    let open = Open { promised: ballot, accepted: Some((ballot, ByteBuf::from(vec![1, 2, 3]))) };
+    let ballot = ProposalNumber { round: 3, proposer: 1, incarnation: 0 };
+    let open = SlotState { promised: ballot, accepted: Some((ballot, ByteBuf::from(vec![1, 2, 3]))) };
     let known = BTreeMap::from([(9, 5)]);
     let rows = [
         ("identity", pack(&IdentityBefore { format, node: NODE, own: 77 })),
--- a/crates/control/storage/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -1,6 +1,6 @@
 //! A run of records as a machine would write them, and the picture that they make.
 
-use limeway_consensus::{Ballot, Open, Slot};
+use limeway_consensus::{ProposalNumber, Slot, SlotState};
 use limeway_storage::{Found, Record, Vault, Votes};
 use serde_bytes::ByteBuf;
 
@@ -48,12 +48,12 @@
         }
     }
 
-    fn open(&self) -> Open {
+    fn open(&self) -> SlotState {
         if self.round == 0 {
-            return Open::default();
+            return SlotState::default();
         }
-        let ballot = Ballot { round: self.round, node: 1, boot: 1 };
-        Open { promised: ballot, accepted: Some((ballot, ByteBuf::from(op(self.end + 1, 40)))) }
+        let ballot = ProposalNumber { round: self.round, proposer: 1, incarnation: 1 };
+        SlotState { promised: ballot, accepted: Some((ballot, ByteBuf::from(op(self.end + 1, 40)))) }
     }
 
     /// Takes a step, and makes its record; `whole` brings all that the machine holds.
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -28,7 +28,7 @@
     /// An empty disk of this life.
     pub fn new(life: u64, sync: Micros) -> Self {
         Disk {
-            votes: Acceptor { life, ..Acceptor::default() },
+            votes: Acceptor { disk: life, ..Acceptor::default() },
             state: State::default(),
             queue: VecDeque::new(),
             failed: false,
@@ -61,10 +61,10 @@
     }
 
     fn apply(&mut self, record: Record) -> Result<(), String> {
-        if record.votes.life != self.votes.life {
+        if record.votes.disk != self.votes.disk {
             return Err(format!(
                 "a record of life {} on a disk of life {}",
-                record.votes.life, self.votes.life
+                record.votes.disk, self.votes.disk
             ));
         }
         if let Some((slot, bytes)) = record.snapshot {
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -40,7 +40,7 @@
                     self.machines[who].first = false;
                     let drawn = self.chance.draw() | 1;
                     let disk = &mut self.machines[who].disk;
-                    let life = if self.off == Off::OldLife { disk.votes.life } else { drawn };
+                    let life = if self.off == Off::OldLife { disk.votes.disk } else { drawn };
                     *disk = Disk::new(life, disk.sync);
                 }
             }
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -3,7 +3,7 @@
 use crate::people::{Flight, Limiter, Wanted};
 use crate::world::{Ev, Machine, World};
 use crate::{Micros, Off, SECOND};
-use limeway_consensus::{Seat, Slot};
+use limeway_consensus::{Slot, Voter};
 use limeway_control_plane::{Ask, Told};
 use limeway_membership::GROUPS;
 use limeway_routing_config::document::Order;
@@ -77,7 +77,7 @@
     }
 
     /// The seats of the newest state.
-    pub fn seats(&self) -> &[Seat] {
+    pub fn seats(&self) -> &[Voter] {
         self.states.values().next_back().map_or(&[], |s| &s.core)
     }
 
@@ -209,7 +209,7 @@
         let line = |(at, m): (usize, &Machine)| {
             let standing =
                 m.process.as_ref().map(|p| (p.marker.standing(self.t + m.offset), p.marker.queued()));
-            let open = m.process.as_ref().map(|p| &p.marker.acceptor().open);
+            let open = m.process.as_ref().map(|p| &p.marker.acceptor().slot_state);
             let open = open.map(|o| (o.promised, o.accepted.as_ref().map(|(b, _)| b)));
             format!(
                 "machine {at}: lost {:?}, disk of slot {}, {standing:?}, {open:?}",
@@ -222,9 +222,9 @@
 
     fn seats_fine(&self, long: Micros) -> bool {
         let seats = self.judge.seats();
-        let fine = |s: &&Seat| {
+        let fine = |s: &&Voter| {
             let machine = &self.machines[s.node as usize - 1];
-            machine.disk.votes.life == s.life && machine.process.is_some() && machine.fine(self.t, long)
+            machine.disk.votes.disk == s.disk && machine.process.is_some() && machine.fine(self.t, long)
         };
         !seats.is_empty() && seats.iter().filter(fine).count() > seats.len() / 2
     }
@@ -269,9 +269,9 @@
             }
         }
         if self.seats_fine(SEATED) {
-            let gone = |s: &&Seat| {
+            let gone = |s: &&Voter| {
                 let machine = &self.machines[s.node as usize - 1];
-                machine.fine(t, SEATED) && machine.process.is_some() && machine.disk.votes.life != s.life
+                machine.fine(t, SEATED) && machine.process.is_some() && machine.disk.votes.disk != s.disk
             };
             if let Some(seat) = self.judge.seats().iter().find(gone) {
                 let broken =
@@ -315,7 +315,7 @@
         if let Some(group) = (0..GROUPS).find(|g| !held.contains(g)) {
             return Some(format!("nobody holds group {group} at the end"));
         }
-        let seats = |s: &Seat| self.machines[s.node as usize - 1].disk.votes.life == s.life;
+        let seats = |s: &Voter| self.machines[s.node as usize - 1].disk.votes.disk == s.disk;
         if let Some(seat) = newest.core.iter().find(|s| !seats(s)) {
             return Some(format!("at the end machine {} sits with a disk that is gone", seat.node - 1));
         }
--- a/crates/testing/simulation/src/off.rs
+++ b/crates/testing/simulation/src/off.rs
@@ -44,7 +44,7 @@
 impl World {
     /// How a machine stands, as one would have it that nobody asked.
     fn feigned(&self, at: usize) -> Standing {
-        let (node, life) = (node(at), self.machines[at].disk.votes.life);
+        let (node, life) = (node(at), self.machines[at].disk.votes.disk);
         let (counted, sound, touch, leaving) = (true, true, true, false);
         Standing { node, life, boot: 1, counted, sound, touch, leaving, slot: 0, kept: 0 }
     }
@@ -59,7 +59,7 @@
     }
 
     fn ahead(&self, standing: &mut Standing) {
-        let seated = self.judge.seats().iter().any(|s| s.node == standing.node && s.life == standing.life);
+        let seated = self.judge.seats().iter().any(|s| s.node == standing.node && s.disk == standing.life);
         if !seated {
             standing.kept = standing.kept.max(self.judge.newest());
         }
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -6,7 +6,7 @@
 use crate::net::{Fate, Net};
 use crate::people::{People, Who};
 use crate::{Micros, Off, Schedule, SECOND};
-use limeway_consensus::Node;
+use limeway_consensus::NodeId;
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
 use limeway_quota::Rule;
@@ -136,8 +136,8 @@
 }
 
 /// A machine's name among the others.
-pub fn node(at: usize) -> Node {
-    at as Node + 1
+pub fn node(at: usize) -> NodeId {
+    at as NodeId + 1
 }
 
 fn bytes(call: &Call) -> u64 {
@@ -398,7 +398,7 @@
         self.push(wake.max(t) + late, Ev::Tick(at, life, tick));
     }
 
-    fn send(&mut self, at: usize, (life, ticket): (u64, Ticket), to: Node, call: Call, wait: Micros) {
+    fn send(&mut self, at: usize, (life, ticket): (u64, Ticket), to: NodeId, call: Call, wait: Micros) {
         let (origin, to) = (Origin::Machine(at, life, ticket), to as usize - 1);
         if let Some(process) = &mut self.machines[at].process {
             process.open.insert(ticket, (to, matches!(call, Call::Ping(_))));
