--- a/crates/balancer/src/edge.rs
+++ b/crates/balancer/src/edge.rs
@@ -11,7 +11,7 @@
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Board, Changed};
 use limeway_load_balancing::{cold_share, Candidate, Near, Selector, Tries};
-use limeway_membership::{rank, Node, Presence};
+use limeway_membership::{rendezvous_weight, MemberHeartbeat, NodeId};
 use limeway_quota::desk::{Desk, Ticket};
 use limeway_quota::escrow::Take;
 use limeway_quota::Rule;
@@ -71,7 +71,7 @@
 pub struct Edge {
     /// Its settings.
     pub settings: Settings,
-    me: Node,
+    me: NodeId,
     board: RefCell<Board>,
     plan: RefCell<Rc<Plan>>,
     table: RefCell<Rc<Table>>,
@@ -109,7 +109,7 @@
         let rule = Core::rule(&settings);
         let b = &settings.bounds;
         Rc::new(Edge {
-            me: Node::from(settings.ip),
+            me: NodeId::from(settings.ip),
             board: RefCell::new(Board::relay(clock::draw() | 1)),
             plan: RefCell::default(),
             table: RefCell::default(),
@@ -122,7 +122,7 @@
             links: Links::new(settings.inner.0),
             news: Notify::new(),
             follower: RefCell::new(Follower::new(
-                Node::from(settings.ip),
+                NodeId::from(settings.ip),
                 &settings.zone,
                 link::nodes(&settings.seeds),
             )),
@@ -182,12 +182,18 @@
         (board.members().len(), live)
     }
 
-    fn presence(&self) -> Presence {
+    fn presence(&self) -> MemberHeartbeat {
         let front = match self.settings.frontend {
             Some(std::net::SocketAddr::V4(front)) => front,
             _ => SocketAddrV4::new(self.settings.ip, 0),
         };
-        Presence { node: self.me, front, zone: self.settings.zone.clone(), ready: self.ready(), age: 0 }
+        MemberHeartbeat {
+            node: self.me,
+            frontend: front,
+            zone: self.settings.zone.clone(),
+            ready: self.ready(),
+            age: 0,
+        }
     }
 
     /// The settings file has changed: what it says of seeds counts from now on.
@@ -208,7 +214,7 @@
         }
     }
 
-    async fn poll(&self, above: Node) {
+    async fn poll(&self, above: NodeId) {
         let asked = now();
         let wait = if self.leaving.get() || !self.ready() { HOLD / 4 } else { HOLD };
         let poll = self.follower.borrow_mut().poll(asked, &self.board.borrow(), self.presence(), wait);
@@ -227,7 +233,7 @@
         }
     }
 
-    async fn fetch(&self, from: Node, want: Want) {
+    async fn fetch(&self, from: NodeId, want: Want) {
         let link = self.links.to(from);
         match link.call_patient(&Call::Fetch(want), Duration::from_micros(HOLD) + ANSWER, FEED_MOST).await {
             Ok(Reply::Steps(steps)) => {
@@ -237,7 +243,7 @@
         }
     }
 
-    fn failed(&self, node: Node, error: Option<link::LinkError>) {
+    fn failed(&self, node: NodeId, error: Option<link::LinkError>) {
         log::info!(node, error = format!("{error:?}").as_str(); "no news from above");
         self.follower.borrow_mut().failed(now(), node);
     }
@@ -330,7 +336,7 @@
         let b = &self.settings.bounds;
         let key = limeway_membership::hash(id.as_bytes());
         let zones = &self.settings.zones;
-        let of = |near: &dyn Fn(&str) -> bool| -> Vec<Node> {
+        let of = |near: &dyn Fn(&str) -> bool| -> Vec<NodeId> {
             board.members().iter().filter(|(_, z)| near(z)).map(|(n, _)| *n).collect()
         };
         let mut sharers = of(&|z| z == zone);
@@ -340,7 +346,7 @@
         if sharers.is_empty() {
             sharers = of(&|_| true);
         }
-        sharers.sort_by_key(|n| std::cmp::Reverse(rank(key, *n)));
+        sharers.sort_by_key(|n| std::cmp::Reverse(rendezvous_weight(key, *n)));
         sharers.truncate(SHARERS);
         if !sharers.contains(&self.me) {
             return 0.0;
--- a/crates/balancer/src/edge/quotas.rs
+++ b/crates/balancer/src/edge/quotas.rs
@@ -38,18 +38,18 @@
 }
 
 impl Edge {
-    pub(super) fn holders(&self) -> Vec<Option<(Node, u64)>> {
-        self.board.borrow().holders.iter().map(|h| Some(*h).filter(|(n, _)| *n != 0)).collect()
+    pub(super) fn holders(&self) -> Vec<Option<(NodeId, u64)>> {
+        self.board.borrow().holders.iter().map(|h| (h.node != 0).then_some((h.node, h.incarnation))).collect()
     }
 
-    fn holder(&self, group: usize) -> Option<(Node, u64)> {
-        self.board.borrow().holders.get(group).copied().filter(|(n, _)| *n != 0)
+    fn holder(&self, group: usize) -> Option<(NodeId, u64)> {
+        self.board.borrow().holders.get(group).filter(|h| h.node != 0).map(|h| (h.node, h.incarnation))
     }
 
     /// A unit of a tenant's quota for one request. An error tells when the next window begins.
     pub async fn unit(&self, tenant: &str, rate: f64, burst: f64) -> Result<(), Micros> {
         let Some(span) = self.rule.span(rate, burst) else { return Ok(()) };
-        let group = limeway_membership::group(tenant);
+        let group = limeway_membership::shard_of(tenant);
         let holder = self.holder(group);
         match self.desk.borrow_mut().take(now(), tenant, group, holder, span) {
             Take::Yes => return Ok(()),
@@ -87,13 +87,13 @@
     }
 
     /// The limiters of the own region that others there ask for units of a group of tenants: the first two by rank.
-    pub(super) fn neighbours(&self, group: usize) -> Vec<Node> {
+    pub(super) fn neighbours(&self, group: usize) -> Vec<NodeId> {
         let board = self.board.borrow();
         let s = &self.settings;
         let near = board.members().iter().filter(|(_, z)| s.zones.get(z) == Some(&s.region)).map(|(n, _)| *n);
         let key = NEIGHBOURS ^ group as u64;
-        let first = limeway_membership::first(key, near.clone());
-        let second = limeway_membership::first(key, near.filter(|n| Some(*n) != first));
+        let first = limeway_membership::preferred_node(key, near.clone());
+        let second = limeway_membership::preferred_node(key, near.filter(|n| Some(*n) != first));
         first.into_iter().chain(second).filter(|n| *n != self.me).collect()
     }
 
@@ -101,7 +101,7 @@
     pub(super) fn lend(&self, tenant: &str) -> Reply {
         let plan = self.plan();
         let span = plan.tenants.get(tenant).and_then(|t| self.rule.span(t.rate, t.burst));
-        let group = limeway_membership::group(tenant);
+        let group = limeway_membership::shard_of(tenant);
         let holder = self.holder(group);
         match span {
             Some(span) if self.desk.borrow_mut().lend(now(), tenant, group, holder, span) => Reply::Done,
--- a/crates/control/control-plane/src/ballots.rs
+++ b/crates/control/control-plane/src/ballots.rs
@@ -277,7 +277,7 @@
         }
         let is = self.seat().is_some();
         if is && !seated && self.contact.founded {
-            self.votes.seated(now);
+            self.votes.become_voter(now);
         }
         (self.contact.seated, self.contact.founded) = (is, !self.board.state.core.is_empty());
         if self.plan.version != self.board.state.version {
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Call, Ping, Pong, Reply};
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
 use limeway_consensus::{NodeId, Slot, Voter};
-use limeway_membership::{Claim, Presence};
+use limeway_membership::{Holder, LeaseRequest, MemberHeartbeat};
 use limeway_routing_config::Op;
 use limeway_service_registry::Report;
 use serde_bytes::ByteBuf;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct Round {
     asked: Micros,
-    claims: Vec<Claim>,
+    claims: Vec<LeaseRequest>,
     given: BTreeMap<usize, usize>,
     /// Seats that have answered.
     words: usize,
@@ -111,7 +111,7 @@
             self.write(Vec::new(), out);
         }
         self.board.watch.sweep(now, MISSED * self.start.heartbeat + 700_000);
-        self.roster.sweep(now);
+        self.roster.expire(now);
         self.sweep_counts(now);
         self.refresh(now);
         self.contact.sets = true;
@@ -131,13 +131,13 @@
             let ids = std::mem::take(&mut self.beats);
             ids.iter().filter_map(|id| self.board.watch.report(now, id)).collect()
         };
-        self.direct.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::LEASE);
-        let age = |p: &Presence| Presence { age: now.saturating_sub(p.age), ..p.clone() };
-        let members: Vec<Presence> = self.direct.values().map(age).collect();
+        self.direct.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::MEMBER_LEASE);
+        let age = |p: &MemberHeartbeat| MemberHeartbeat { age: now.saturating_sub(p.age), ..p.clone() };
+        let members: Vec<MemberHeartbeat> = self.direct.values().map(age).collect();
         let mut given = BTreeMap::new();
         for claim in &claims {
-            if self.votes.claim(now, self.start.me, *claim) {
-                *given.entry(claim.group).or_default() += 1;
+            if self.votes.vote(now, self.start.me, *claim) {
+                *given.entry(claim.shard).or_default() += 1;
             }
         }
         let sound = self.seat().is_some() && self.paper.sound(now);
@@ -192,11 +192,11 @@
         };
         self.missed.remove(&node);
         self.show(now, pong.me);
-        self.votes.hear(now, node, pong.me.boot, &pong.held);
+        self.votes.observe_holder(now, Holder { node, incarnation: pong.me.boot }, &pong.held);
         let mut heard: Vec<NodeId> = self.seats().iter().map(|s| s.node).collect();
         heard.extend(&self.board.state.former);
         heard.retain(|n| *n != self.start.me);
-        self.votes.complete(&heard);
+        self.votes.complete_recovery(&heard);
         self.hear_all(now, &pong.servers, false);
         let seated = self.seats().contains(&Voter { node, disk: pong.me.life });
         let Some(round) = self.contact.rounds.get_mut(&number) else { return };
@@ -258,11 +258,11 @@
             return;
         }
         let Some(round) = self.contact.rounds.remove(&number) else { return };
-        for claim in round.claims.iter().filter(|c| !c.holds && !self.duties.holds(now, c.group)) {
+        for claim in round.claims.iter().filter(|c| !c.renewal && !self.duties.holds(now, c.shard)) {
             // Another round under way may count the own vote, and win by it.
-            let counted = |r: &Round| r.claims.iter().any(|c| c.group == claim.group);
+            let counted = |r: &Round| r.claims.iter().any(|c| c.shard == claim.shard);
             if !self.contact.rounds.values().any(counted) {
-                self.votes.release(self.start.me, *claim);
+                self.votes.release_vote(self.start.me, *claim);
             }
         }
         if round.newest.0 > self.board.state.slot {
@@ -310,7 +310,7 @@
             self.contact.sets = true;
         }
         if standing.leaving {
-            self.votes.leaves(standing.node);
+            self.votes.release_node(standing.node);
         }
         let (seats, me) = (self.seats(), self.start.me);
         let gone = |n: &NodeId, s: &Shown| {
@@ -326,7 +326,7 @@
         self.hear_all(now, &ping.beats, false);
         let mut changed = false;
         for member in &ping.members {
-            changed |= self.roster.hear(now, member);
+            changed |= self.roster.observe(now, member);
         }
         if changed {
             self.refresh(now);
@@ -335,7 +335,7 @@
         let votes = self.seat().is_some() && ping.me.touch && !ping.me.leaving;
         let claims = ping.claims.into_iter().filter(|_| votes);
         let given: Vec<usize> =
-            claims.filter(|c| self.votes.claim(now, ping.me.node, *c)).map(|c| c.group).collect();
+            claims.filter(|c| self.votes.vote(now, ping.me.node, *c)).map(|c| c.shard).collect();
         if ping.me.slot > self.board.state.slot {
             self.fetch(now, ping.me.node, out);
         }
--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -3,14 +3,14 @@
 use crate::messages::Reply;
 use crate::{Marker, Micros};
 use limeway_consensus::NodeId;
-use limeway_membership::{Claim, GROUPS};
+use limeway_membership::{Holder, LeaseRequest, SHARDS};
 use limeway_quota::count::Count;
 use limeway_quota::Request;
 use std::collections::BTreeMap;
 
 impl Marker {
     /// What to claim. Without contact nothing: the votes could not be heard.
-    pub(crate) fn claims(&mut self, now: Micros) -> Vec<Claim> {
+    pub(crate) fn claims(&mut self, now: Micros) -> Vec<LeaseRequest> {
         if self.board.state.core.is_empty()
             || self.seat().is_none()
             || !self.touch(now)
@@ -22,7 +22,7 @@
         let seats = self.board.state.core.iter();
         let live = seats.filter(|s| s.node == me || self.well(now, s)).map(|s| s.node);
         let live: Vec<NodeId> = live.collect();
-        self.duties.claims(now, me, self.start.boot, &live, &self.votes)
+        self.duties.requests(now, Holder { node: me, incarnation: self.start.boot }, &live, &self.votes)
     }
 
     /// A round has got these votes for its claims.
@@ -30,7 +30,7 @@
         &mut self,
         now: Micros,
         asked: Micros,
-        claims: &[Claim],
+        claims: &[LeaseRequest],
         given: &BTreeMap<usize, usize>,
         majority: usize,
     ) {
@@ -38,16 +38,16 @@
             return;
         }
         let length = self.start.rule.length();
-        for claim in claims.iter().filter(|c| given.get(&c.group).copied().unwrap_or(0) >= majority) {
-            if self.duties.won(now, asked, *claim) {
+        for claim in claims.iter().filter(|c| given.get(&c.shard).copied().unwrap_or(0) >= majority) {
+            if self.duties.acquire(now, asked, *claim) {
                 // It begins a whole window after the last holding, which at the latest ended when this one began, or before
                 // this process started. So does the very first one: who is first cannot be told from who has just come back.
-                let young = now < self.started + limeway_membership::TERM;
+                let young = now < self.started + limeway_membership::ROLE_LEASE;
                 let begin = if young { now.max(self.started + length) } else { now + length };
                 let term = self.start.boot ^ now.rotate_left(32);
                 let doors = &self.board.state.doors;
-                self.counts[claim.group] = Some(Count::new(begin, term, length, doors, false));
-                log::info!(group = claim.group; "holds a duty");
+                self.counts[claim.shard] = Some(Count::new(begin, term, length, doors, false));
+                log::info!(group = claim.shard; "holds a duty");
                 self.news.look = true;
             }
         }
@@ -72,12 +72,13 @@
         }
         let (rule, plan) = (self.start.rule, self.plan.clone());
         let mut answers = Vec::new();
-        for request in requests.iter().filter(|r| r.group < GROUPS) {
+        for request in requests.iter().filter(|r| r.group < SHARDS) {
             let group = request.group;
             let holds = self.duties.holds(now, group);
             let Some(count) = self.counts[group].as_mut().filter(|_| holds) else { continue };
             let span = |name: &str| {
-                let tenant = plan.tenants.get(name).filter(|_| limeway_membership::group(name) == group)?;
+                let tenant =
+                    plan.tenants.get(name).filter(|_| limeway_membership::shard_of(name) == group)?;
                 rule.span(tenant.rate, tenant.burst)
             };
             answers.extend(count.answer(now, now + limeway_quota::BLOCK, node, request, span));
@@ -90,11 +91,11 @@
         if !self.touch(now) {
             return;
         }
-        let live = self.roster.live(now).filter(|(_, _, _, ready)| *ready);
-        let members = live.map(|(n, _, zone, _)| (n, zone.to_owned())).collect();
+        let live = self.roster.live(now).filter(|m| m.ready);
+        let members = live.map(|m| (m.node, m.zone.to_owned())).collect();
         let mut news = self.board.set_members(members);
-        for group in 0..GROUPS {
-            let holder = self.votes.holder(now, group).unwrap_or((0, 0));
+        for group in 0..SHARDS {
+            let holder = self.votes.holder(now, group).unwrap_or_default();
             news |= self.board.holders[group] != holder;
             self.board.holders[group] = holder;
         }
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -26,7 +26,7 @@
 use limeway_consensus::{Acceptor, DiskIncarnation, NodeId, Slot, Voter};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::Board;
-use limeway_membership::{Duties, Presence, Roster, Votes, GROUPS};
+use limeway_membership::{HeldLeases, LeaseVoter, MemberHeartbeat, Membership, SHARDS};
 use limeway_quota::count::Count;
 use limeway_quota::Rule;
 use limeway_routing_config::{BadConfig, Order, Plan, State};
@@ -195,12 +195,12 @@
     plan: Rc<Plan>,
     /// The seats when this machine last looked.
     core: Vec<Voter>,
-    roster: Roster,
+    roster: Membership,
     /// Members that renew their lease here; `age` is the moment at which they were heard.
-    direct: BTreeMap<NodeId, Presence>,
-    votes: Votes,
-    duties: Duties,
-    counts: [Option<Count>; GROUPS],
+    direct: BTreeMap<NodeId, MemberHeartbeat>,
+    votes: LeaseVoter,
+    duties: HeldLeases,
+    counts: [Option<Count>; SHARDS],
     /// Members not heard of, since when.
     away: BTreeMap<NodeId, Micros>,
     /// Servers whose beats are to be told in the next round.
@@ -249,10 +249,10 @@
             acceptor: start.acceptor.clone(),
             plan: Rc::new(plan),
             core: board.state.core.clone(),
-            roster: Roster::default(),
+            roster: Membership::default(),
             direct: BTreeMap::new(),
-            votes: Votes::new(now, !start.founder),
-            duties: Duties::default(),
+            votes: LeaseVoter::new(now, !start.founder),
+            duties: HeldLeases::default(),
             counts: Default::default(),
             away: BTreeMap::new(),
             beats: BTreeSet::new(),
@@ -447,12 +447,12 @@
 
     /// The groups whose counts are held here at this moment.
     pub fn held(&self, now: Micros) -> Vec<usize> {
-        (0..GROUPS).filter(|g| self.duties.holds(now, *g)).collect()
+        (0..SHARDS).filter(|g| self.duties.holds(now, *g)).collect()
     }
 
     /// Limiters that can serve: their zones and where clients reach them. Nothing without contact: others know better.
     pub fn fronts(&self, now: Micros) -> Option<Vec<(String, SocketAddrV4)>> {
-        let live = self.roster.live(now).filter(|(_, _, _, ready)| *ready);
-        self.touch(now).then(|| live.map(|(_, front, zone, _)| (zone.to_owned(), front)).collect())
+        let live = self.roster.live(now).filter(|m| m.ready);
+        self.touch(now).then(|| live.map(|m| (m.zone.to_owned(), m.frontend)).collect())
     }
 }
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -3,7 +3,7 @@
 use limeway_consensus::{AcceptorReply, DiskIncarnation, NodeId, ProposalNumber, Slot};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Feed, Poll, Steps};
-use limeway_membership::{Claim, Held, Presence};
+use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Request};
 use limeway_service_registry::Report;
 use serde::{Deserialize, Serialize};
@@ -94,13 +94,13 @@
     pub beats: Vec<Report>,
     /// Members that renew their lease there.
     #[serde(rename = "m")]
-    pub members: Vec<Presence>,
+    pub members: Vec<MemberHeartbeat>,
     /// Duties that it holds.
     #[serde(rename = "h")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldLease>,
     /// Duties that it claims.
     #[serde(rename = "d")]
-    pub claims: Vec<Claim>,
+    pub claims: Vec<LeaseRequest>,
     /// It wants all that is known of servers: it has just started, or was cut off.
     #[serde(rename = "a")]
     pub all: bool,
@@ -117,7 +117,7 @@
     pub pending: bool,
     /// Duties that it holds.
     #[serde(rename = "h")]
-    pub held: Vec<Held>,
+    pub held: Vec<HeldLease>,
     /// The groups of duties that it votes for.
     #[serde(rename = "d")]
     pub given: Vec<usize>,
--- a/crates/control/control-plane/src/news.rs
+++ b/crates/control/control-plane/src/news.rs
@@ -39,10 +39,9 @@
 
 impl Marker {
     pub(crate) fn poll(&mut self, now: Micros, token: Token, poll: Poll, out: &mut Vec<Action>) {
-        for presence in std::iter::once(&poll.me).chain(&poll.below).filter(|p| p.front.port() != 0) {
-            self.news.look |= self.roster.hear(now, presence);
-            if self.direct.len() < limeway_membership::MEMBERS_MOST
-                || self.direct.contains_key(&presence.node)
+        for presence in std::iter::once(&poll.me).chain(&poll.below).filter(|p| p.frontend.port() != 0) {
+            self.news.look |= self.roster.observe(now, presence);
+            if self.direct.len() < limeway_membership::MAX_MEMBERS || self.direct.contains_key(&presence.node)
             {
                 let mut seen = presence.clone();
                 // Kept with the moment at which it was heard.
--- a/crates/control/control-plane/src/seats.rs
+++ b/crates/control/control-plane/src/seats.rs
@@ -27,7 +27,7 @@
 /// A newcomer has shown itself for so long.
 const NEW: Micros = 300_000;
 /// Those that held a seat may hold duties for this long.
-const FORMER: Micros = limeway_membership::TERM + 2_000_000;
+const FORMER: Micros = limeway_membership::ROLE_LEASE + 2_000_000;
 /// A machine that is told to end goes on for so long in any case.
 pub(crate) const GOODBYE: Micros = 300_000;
 /// The same where a newcomer is to take its seat.
@@ -47,9 +47,9 @@
             log::info!("told to end");
             self.leaving = Some(now);
             // What it holds passes on at once, not when its term ends.
-            self.duties.give_up();
+            self.duties.release_all();
             self.sweep_counts(now);
-            self.votes.leaves(self.start.me);
+            self.votes.release_node(self.start.me);
             self.round(now, out);
         }
     }
@@ -156,7 +156,7 @@
 
     /// Limiters that have come and may hold quota, and those that have been away for long.
     pub(crate) fn next_doors(&mut self, now: Micros) -> Option<Op> {
-        let live: BTreeSet<NodeId> = self.roster.live(now).map(|(n, ..)| n).collect();
+        let live: BTreeSet<NodeId> = self.roster.live(now).map(|m| m.node).collect();
         let doors = &self.board.state.doors;
         self.away.retain(|n, _| doors.contains(n) && !live.contains(n));
         for node in doors.difference(&live) {
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -6,7 +6,7 @@
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
 use limeway_distribution::parcel::{Have, Label, Part, Want};
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
-use limeway_membership::{Claim, Held, Presence};
+use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
 use limeway_routing_config::document::Order;
 use limeway_routing_config::{Op, State};
@@ -60,8 +60,8 @@
     }
 }
 
-fn presence() -> Presence {
-    Presence { node: 20, front: address(20, 8080), zone: "north-a".into(), ready: true, age: 1_234 }
+fn presence() -> MemberHeartbeat {
+    MemberHeartbeat { node: 20, frontend: address(20, 8080), zone: "north-a".into(), ready: true, age: 1_234 }
 }
 
 fn report(phase: Phase) -> Report {
@@ -128,8 +128,8 @@
         me: standing(),
         beats: vec![report(Phase::Ready)],
         members: vec![presence()],
-        held: vec![Held { group: 3, left: 7_000_000 }],
-        claims: vec![Claim { group: 4, boot: 5, holds: true }],
+        held: vec![HeldLease { shard: 3, remaining: 7_000_000 }],
+        claims: vec![LeaseRequest { shard: 4, incarnation: 5, renewal: true }],
         all: true,
     };
     let poll = Poll {
@@ -158,7 +158,7 @@
     let pong = Pong {
         me: standing(),
         pending: true,
-        held: vec![Held { group: 3, left: 7_000_000 }],
+        held: vec![HeldLease { shard: 3, remaining: 7_000_000 }],
         given: vec![4, 5],
         servers: vec![report(Phase::Ready)],
     };
@@ -171,7 +171,7 @@
         change: 6,
         servers: vec![report(Phase::Ready)],
         full: true,
-        holders: vec![(1, 5), (0, 0)],
+        holders: vec![(1, 5).into(), (0, 0).into()],
         members_change: 7,
         members,
     };
--- a/crates/control/distribution/src/follow.rs
+++ b/crates/control/distribution/src/follow.rs
@@ -11,8 +11,8 @@
 //! Free of I/O; times are those of the machine's own steady clock.
 
 use crate::parcel::{Want, PART, PART_LEAST};
-use crate::{tree, Board, Changed, Feed, Micros, Node, Poll, Steps, Trust};
-use limeway_membership::{hash, rank, Presence};
+use crate::{tree, Board, Changed, Feed, Micros, NodeId, Poll, Steps, Trust};
+use limeway_membership::{hash, rendezvous_weight, MemberHeartbeat};
 use std::collections::BTreeMap;
 
 /// First pause in which one who was silent or unsure is passed over.
@@ -40,9 +40,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
     /// Poll this machine, with [`Follower::poll`].
-    Poll(Node),
+    Poll(NodeId),
     /// Fetch steps from this machine.
-    Fetch(Node, Want),
+    Fetch(NodeId, Want),
     /// Nothing before then.
     Wait(Micros),
 }
@@ -65,22 +65,22 @@
 #[derive(Debug, Clone, Copy)]
 struct Lacks {
     slot: u64,
-    teller: Node,
+    teller: NodeId,
 }
 
 /// How a limiter follows.
 #[derive(Debug)]
 pub struct Follower {
-    me: Node,
+    me: NodeId,
     zone: String,
     /// The seeds of the settings file.
-    pub seeds: Vec<Node>,
-    paused: BTreeMap<Node, Pause>,
+    pub seeds: Vec<NodeId>,
+    paused: BTreeMap<NodeId, Pause>,
     told: Told,
     lacks: Option<Lacks>,
     /// Members that anyone told of, whether it was sure or not: they are ways, no more.
-    heard: Vec<Node>,
-    below: BTreeMap<Node, Presence>,
+    heard: Vec<NodeId>,
+    below: BTreeMap<NodeId, MemberHeartbeat>,
     /// Bytes of steps to ask for: less where answers do not come in time.
     room: usize,
     not_before: Micros,
@@ -91,7 +91,7 @@
 
 impl Follower {
     /// A limiter that has asked nobody yet.
-    pub fn new(me: Node, zone: &str, seeds: Vec<Node>) -> Self {
+    pub fn new(me: NodeId, zone: &str, seeds: Vec<NodeId>) -> Self {
         Follower {
             me,
             zone: zone.to_owned(),
@@ -108,27 +108,27 @@
         }
     }
 
-    fn passed_over(&self, now: Micros, node: Node) -> bool {
+    fn passed_over(&self, now: Micros, node: NodeId) -> bool {
         self.paused.get(&node).is_some_and(|p| p.until > now)
     }
 
     /// The relay above, the core machines, the seeds: first choice first.
-    fn ways(&self, now: Micros, board: &Board) -> Vec<Node> {
-        let failed: Vec<Node> = self.paused.keys().copied().filter(|n| self.passed_over(now, *n)).collect();
+    fn ways(&self, now: Micros, board: &Board) -> Vec<NodeId> {
+        let failed: Vec<NodeId> = self.paused.keys().copied().filter(|n| self.passed_over(now, *n)).collect();
         let core = board.state.core_nodes();
         let seeds = self.seeds.iter().filter(|s| !core.contains(*s));
         // Should none of the core machines that are known answer, the settings file may know better.
-        let known: Vec<Node> = core.iter().chain(seeds).copied().collect();
+        let known: Vec<NodeId> = core.iter().chain(seeds).copied().collect();
         tree::above(self.me, &self.zone, board.members(), &known, &failed)
     }
 
     /// A member to ask as a last way. Each limiter has its own order, so that they do not all come to the same relays.
-    fn member(&self, now: Micros, board: &Board, ways: &[Node]) -> Option<Node> {
+    fn member(&self, now: Micros, board: &Board, ways: &[NodeId]) -> Option<NodeId> {
         let known = board.members().iter().map(|(n, _)| *n).chain(self.heard.iter().copied());
         let key = hash(&self.me.to_le_bytes());
         known
             .filter(|n| *n != self.me && !ways.contains(n) && !self.passed_over(now, *n))
-            .max_by_key(|n| rank(key, *n))
+            .max_by_key(|n| rendezvous_weight(key, *n))
     }
 
     /// What to do now.
@@ -137,7 +137,7 @@
             return Next::Wait(self.not_before);
         }
         let ways = self.ways(now, board);
-        let free = |node: &&Node| !self.passed_over(now, **node);
+        let free = |node: &&NodeId| !self.passed_over(now, **node);
         if let Some(lacks) = self.lacks.filter(|l| l.slot > board.state.slot && now < self.polled + FETCHING)
         {
             // From the core, whose links are wide; should none of it be reached, from whoever told of it.
@@ -164,9 +164,9 @@
     }
 
     /// The poll to send.
-    pub fn poll(&mut self, now: Micros, board: &Board, me: Presence, wait: Micros) -> Poll {
-        self.below.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::LEASE);
-        let age = |p: &Presence| Presence { age: now.saturating_sub(p.age), ..p.clone() };
+    pub fn poll(&mut self, now: Micros, board: &Board, me: MemberHeartbeat, wait: Micros) -> Poll {
+        self.below.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::MEMBER_LEASE);
+        let age = |p: &MemberHeartbeat| MemberHeartbeat { age: now.saturating_sub(p.age), ..p.clone() };
         Poll {
             me,
             below: self.below.values().map(age).collect(),
@@ -184,7 +184,7 @@
         for presence in std::iter::once(&poll.me).chain(&poll.below) {
             if self.below.len() < BELOW_MOST || self.below.contains_key(&presence.node) {
                 let age = now.saturating_sub(presence.age);
-                let new = self.below.insert(presence.node, Presence { age, ..presence.clone() });
+                let new = self.below.insert(presence.node, MemberHeartbeat { age, ..presence.clone() });
                 news |= new.is_none_or(|p| p.ready != presence.ready);
             }
         }
@@ -197,7 +197,7 @@
         now: Micros,
         asked: Micros,
         want: &Want,
-        teller: Node,
+        teller: NodeId,
         feed: Feed,
         board: &mut Board,
     ) -> Changed {
@@ -264,13 +264,13 @@
     }
 
     /// No answer came.
-    pub fn failed(&mut self, now: Micros, node: Node) {
+    pub fn failed(&mut self, now: Micros, node: NodeId) {
         self.room = (self.room / 2).max(PART_LEAST);
         self.lacks = self.lacks.filter(|l| l.teller != node);
         self.pass_over(now, node);
     }
 
-    fn pass_over(&mut self, now: Micros, node: Node) {
+    fn pass_over(&mut self, now: Micros, node: NodeId) {
         let length = self.paused.get(&node).map_or(PAUSE_FIRST, |p| (2 * p.length).min(PAUSE_MOST));
         if self.paused.len() >= PAUSED_MOST {
             let first = self.paused.iter().min_by_key(|(_, p)| p.until).map(|(n, _)| *n);
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -15,7 +15,7 @@
 //! Free of I/O; times are those of each machine's own steady clock.
 #![forbid(unsafe_code)]
 
-use limeway_membership::{Node, Presence, GROUPS};
+use limeway_membership::{MemberHeartbeat, NodeId, SHARDS};
 use limeway_routing_config::{Op, State};
 use limeway_service_registry::{Report, Watch};
 use serde::{Deserialize, Serialize};
@@ -53,10 +53,10 @@
 pub struct Poll {
     /// Itself.
     #[serde(rename = "m")]
-    pub me: Presence,
+    pub me: MemberHeartbeat,
     /// Those below it.
     #[serde(rename = "b")]
-    pub below: Vec<Presence>,
+    pub below: Vec<MemberHeartbeat>,
     /// What it lacks of the agreed state.
     #[serde(rename = "s")]
     pub want: Want,
@@ -89,10 +89,9 @@
 }
 
 /// A member, as limiters know it: its machine and its zone.
-pub type Member = (Node, String);
+pub type Member = (NodeId, String);
 
-/// Who holds a group: the machine, 0 for nobody, and the life of its process.
-pub type Holder = (Node, u64);
+pub use limeway_membership::Holder;
 
 /// What a poll is answered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -154,7 +153,7 @@
     members: Vec<Member>,
     members_change: u64,
     /// Who holds each group.
-    pub holders: [Holder; GROUPS],
+    pub holders: [Holder; SHARDS],
     /// When this process was last sure of `state`; 0 for never.
     pub sure: Micros,
     /// As of when members and holders were told.
@@ -214,7 +213,7 @@
             watch: Watch::default(),
             members: Vec::new(),
             members_change: 0,
-            holders: [(0, 0); GROUPS],
+            holders: [Holder::default(); SHARDS],
             sure: 0,
             told: 0,
             owed: VecDeque::new(),
@@ -490,7 +489,7 @@
             if let Some(members) = feed.members {
                 changed.members |= self.set_members(members);
             }
-            let mut holders = [(0, 0); GROUPS];
+            let mut holders = [Holder::default(); SHARDS];
             holders.iter_mut().zip(feed.holders).for_each(|(to, from)| *to = from);
             changed.members |= holders != self.holders;
             self.holders = holders;
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -14,14 +14,14 @@
 fn told() -> Board {
     let mut teller = core(1, NOW, &[1, 2, 3], 0);
     teller.set_members((1..=3).map(|n| (n, "z".to_owned())).collect());
-    teller.holders[0] = (1, 11);
+    teller.holders[0] = (1, 11).into();
     for id in [1, 2] {
         teller.watch.hear(NOW, &report(id, 1, Phase::Ready));
     }
     let mut limiter = Board::relay(9);
     let feed = teller.feed(NOW, &poll(&limiter, 0, 0, 0), 0);
     limiter.take(NOW, NOW, 0, feed);
-    assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11)));
+    assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11).into()));
     limiter
 }
 
@@ -30,7 +30,7 @@
     let mut teller = core(2, sure, &[1, 2, 3], 0);
     teller.step(&pack(&Op::Evacuate { zone: "y".into(), begun: true, mark: 0, again: 0 }));
     teller.set_members(vec![(7, "z".to_owned())]);
-    teller.holders[0] = (2, 22);
+    teller.holders[0] = (2, 22).into();
     teller.watch.hear(NOW, &report(1, 2, Phase::Draining));
     teller
 }
@@ -47,7 +47,7 @@
     // One of an older program may say that its list is full.
     feed.full = true;
     limiter.take(NOW, NOW, asked.want.slot, feed);
-    assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11)));
+    assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11).into()));
     assert!(
         !limiter.watch.servers()["i-2"].doubted,
         "an unsure teller's list says nothing of whom it does not name"
@@ -70,7 +70,7 @@
     let asked = poll(&limiter, 0, 0, 0);
     let feed = teller.feed(NOW, &asked, 0);
     limiter.take(NOW, NOW, asked.want.slot, feed);
-    assert_eq!((limiter.members().len() == 1, limiter.holders[0] == (2, 22)), (taken, taken));
+    assert_eq!((limiter.members().len() == 1, limiter.holders[0] == (2, 22).into()), (taken, taken));
     assert_eq!(limiter.sure, NOW);
 }
 
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -2,15 +2,15 @@
 #![allow(dead_code)]
 
 use limeway_distribution::{pack, Board, Micros, Poll};
-use limeway_membership::Presence;
+use limeway_membership::MemberHeartbeat;
 use limeway_routing_config::document::{Item, Kind};
 use limeway_routing_config::Op;
 use limeway_service_registry::{Phase, Report};
 use std::net::SocketAddrV4;
 
-pub fn presence(node: u32) -> Presence {
+pub fn presence(node: u32) -> MemberHeartbeat {
     let front = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
-    Presence { node, front, zone: "z".into(), ready: true, age: 0 }
+    MemberHeartbeat { node, frontend: front, zone: "z".into(), ready: true, age: 0 }
 }
 
 /// A poll of one who knows so much of the teller's board.
--- a/crates/control/distribution/tests/following.rs
+++ b/crates/control/distribution/tests/following.rs
@@ -6,7 +6,7 @@
 use limeway_distribution::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
 use limeway_distribution::parcel::{PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Micros};
-use limeway_membership::Node;
+use limeway_membership::NodeId;
 use limeway_routing_config::Op;
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -28,18 +28,18 @@
 struct Play {
     follower: Follower,
     board: Board,
-    tellers: BTreeMap<Node, Teller>,
-    core: Vec<Node>,
-    members: Vec<Node>,
+    tellers: BTreeMap<NodeId, Teller>,
+    core: Vec<NodeId>,
+    members: Vec<NodeId>,
     /// Small changes after the first slot.
     changes: u32,
     now: Micros,
-    asked: Vec<(Micros, Node)>,
+    asked: Vec<(Micros, NodeId)>,
 }
 
 impl Play {
     /// A limiter of machine 50, zone "z". What a machine is not said to be, it is not: it is silent.
-    fn new(seeds: &[Node], core: &[Node], tellers: &[(Node, Teller)]) -> Self {
+    fn new(seeds: &[NodeId], core: &[NodeId], tellers: &[(NodeId, Teller)]) -> Self {
         Play {
             follower: Follower::new(50, "z", seeds.to_vec()),
             board: Board::relay(9),
@@ -62,7 +62,7 @@
         }
     }
 
-    fn poll(&mut self, node: Node) {
+    fn poll(&mut self, node: NodeId) {
         let asked = self.now;
         self.asked.push((asked, node));
         let poll = self.follower.poll(asked, &self.board, presence(50), 600_000);
@@ -84,24 +84,24 @@
         self.follower.fed(self.now, asked, &poll.want, node, feed, &mut self.board);
     }
 
-    fn times(&self, node: Node) -> Vec<Micros> {
+    fn times(&self, node: NodeId) -> Vec<Micros> {
         self.asked.iter().filter(|(_, n)| *n == node).map(|(t, _)| *t).collect()
     }
 }
 
 /// The core machine that this limiter asks first.
-fn first_choice(core: &[Node]) -> Node {
+fn first_choice(core: &[NodeId]) -> NodeId {
     let mut play = Play::new(core, core, &core.map_in_touch());
     play.until(20_000_000 + STEP);
     play.asked[0].1
 }
 
 trait MapInTouch {
-    fn map_in_touch(&self) -> Vec<(Node, Teller)>;
+    fn map_in_touch(&self) -> Vec<(NodeId, Teller)>;
 }
 
-impl MapInTouch for [Node] {
-    fn map_in_touch(&self) -> Vec<(Node, Teller)> {
+impl MapInTouch for [NodeId] {
+    fn map_in_touch(&self) -> Vec<(NodeId, Teller)> {
         self.iter().map(|n| (*n, Teller::InTouch)).collect()
     }
 }
@@ -157,7 +157,7 @@
 #[rstest]
 #[case::by_the_core_that_a_seed_names(&[4, 5], &[])]
 #[case::by_a_member(&[], &[60])]
-fn a_new_process_gets_past_seeds_that_are_cut_off(#[case] reached: &[Node], #[case] relays: &[Node]) {
+fn a_new_process_gets_past_seeds_that_are_cut_off(#[case] reached: &[NodeId], #[case] relays: &[NodeId]) {
     let core = [1, 2, 3, 4, 5];
     let mut play = Play::new(&[1, 2], &core, &[(1, Teller::CutOff), (2, Teller::CutOff)]);
     play.members = vec![60, 61];
--- a/crates/control/distribution/tests/storm.rs
+++ b/crates/control/distribution/tests/storm.rs
@@ -7,7 +7,7 @@
 use limeway_distribution::follow::{Follower, Next};
 use limeway_distribution::parcel::Want;
 use limeway_distribution::{Board, Feed, Member, Micros, Poll, Steps};
-use limeway_membership::Node;
+use limeway_membership::NodeId;
 use rstest::rstest;
 
 /// A step of virtual time, in microseconds.
@@ -18,13 +18,13 @@
 const LINK: u64 = 250_000;
 /// A call waits so long for its answer.
 const ANSWER: Micros = 1_300_000;
-const CORE: [Node; 3] = [1, 2, 3];
+const CORE: [NodeId; 3] = [1, 2, 3];
 const LIMITERS: usize = 17;
 
 enum Asked {
     Nothing,
-    Poll(Node, Box<Poll>),
-    Fetch(Node, Want),
+    Poll(NodeId, Box<Poll>),
+    Fetch(NodeId, Want),
 }
 
 enum Answer {
@@ -33,7 +33,7 @@
 }
 
 struct Limiter {
-    node: Node,
+    node: NodeId,
     follower: Follower,
     board: Board,
     asked: Asked,
@@ -56,11 +56,11 @@
 impl Zone {
     fn new() -> Self {
         let mut board = core(7, 1, &CORE, 0);
-        let members: Vec<Member> = (0..LIMITERS).map(|n| (100 + n as Node, "z".to_owned())).collect();
+        let members: Vec<Member> = (0..LIMITERS).map(|n| (100 + n as NodeId, "z".to_owned())).collect();
         board.set_members(members);
         let limiter = |n: usize| Limiter {
-            node: 100 + n as Node,
-            follower: Follower::new(100 + n as Node, "z", CORE.to_vec()),
+            node: 100 + n as NodeId,
+            follower: Follower::new(100 + n as NodeId, "z", CORE.to_vec()),
             board: Board::relay(50 + n as u64),
             asked: Asked::Nothing,
             at: 0,
--- a/crates/control/membership/tests/duties.rs
+++ b/crates/control/membership/tests/role_leases.rs
@@ -1,8 +1,15 @@
 //! Duties change hands under a fence, whatever is lost, late or restarted.
 
-use limeway_membership::{first, group, Claim, Duties, Held, Micros, Votes, CLAIM, GROUPS, TERM};
+use limeway_membership::{
+    preferred_node, shard_of, HeldLease, HeldLeases, Holder, LeaseRequest, LeaseVoter, Micros,
+    LEASE_REQUEST_TIMEOUT, ROLE_LEASE, SHARDS,
+};
 use rstest::rstest;
 
+fn holder(node: u32, incarnation: u64) -> Holder {
+    Holder { node, incarnation }
+}
+
 struct Chance(u64);
 
 impl Chance {
@@ -14,10 +21,10 @@
 
 struct Machine {
     boot: u64,
-    votes: Votes,
-    duties: Duties,
+    votes: LeaseVoter,
+    duties: HeldLeases,
     /// A round that is under way: when it was asked, its claims, the votes so far.
-    round: Option<(Micros, Vec<Claim>, Vec<usize>)>,
+    round: Option<(Micros, Vec<LeaseRequest>, Vec<usize>)>,
 }
 
 /// Plays three machines; the most that held one group at one time, and for how many steps one was held at all.
@@ -26,14 +33,14 @@
     let mut now: Micros = 1_000_000_000;
     let fresh = |now, boot, forgotten| Machine {
         boot,
-        votes: Votes::new(now, forgotten),
-        duties: Duties::default(),
+        votes: LeaseVoter::new(now, forgotten),
+        duties: HeldLeases::default(),
         round: None,
     };
     let mut machines: Vec<Machine> = (1..=3).map(|n| fresh(now, n, false)).collect();
     // Votes and news under way: from, to, boot of the sender, when asked, claim or what is held.
-    let mut wire: Vec<(usize, usize, u64, Micros, Claim)> = Vec::new();
-    let mut news: Vec<(usize, usize, u64, Vec<Held>)> = Vec::new();
+    let mut wire: Vec<(usize, usize, u64, Micros, LeaseRequest)> = Vec::new();
+    let mut news: Vec<(usize, usize, u64, Vec<HeldLease>)> = Vec::new();
     let (mut most, mut held, mut boots) = (0, 0, 10);
     for _ in 0..3_000 {
         now += chance.below(60_000);
@@ -51,11 +58,11 @@
                 let m = &mut machines[at];
                 // The last round of this machine is over.
                 if let Some((_, claims, _)) = m.round.take() {
-                    let lost = claims.into_iter().filter(|c| !c.holds && !m.duties.holds(now, c.group));
-                    lost.for_each(|c| m.votes.release(at as u32 + 1, c));
+                    let lost = claims.into_iter().filter(|c| !c.renewal && !m.duties.holds(now, c.shard));
+                    lost.for_each(|c| m.votes.release_vote(at as u32 + 1, c));
                 }
-                let claims = m.duties.claims(now, at as u32 + 1, m.boot, live, &m.votes);
-                let claims: Vec<Claim> = claims.into_iter().filter(|c| c.group == 0).collect();
+                let claims = m.duties.requests(now, holder(at as u32 + 1, m.boot), live, &m.votes);
+                let claims: Vec<LeaseRequest> = claims.into_iter().filter(|c| c.shard == 0).collect();
                 for claim in &claims {
                     (0..3).for_each(|to| wire.push((at, to, m.boot, now, *claim)));
                 }
@@ -68,25 +75,26 @@
                 // What a process says of itself comes in order, as its connection ends with it.
                 if machines[from].boot == boot && machines[from].duties.held(now).len() >= holds.len() {
                     let holds = machines[from].duties.held(now);
-                    machines[to].votes.hear(now, from as u32 + 1, boot, &holds);
+                    machines[to].votes.observe_holder(now, holder(from as u32 + 1, boot), &holds);
                     let others: Vec<u32> = (1..=3).filter(|n| *n != to as u32 + 1).collect();
-                    machines[to].votes.complete(&others);
+                    machines[to].votes.complete_recovery(&others);
                 }
             }
             _ if !wire.is_empty() => {
                 let (from, to, boot, asked, claim) =
                     wire.swap_remove(chance.below(wire.len() as u64) as usize);
-                if chance.below(10) == 0 || now - asked > CLAIM || machines[from].boot != boot {
+                if chance.below(10) == 0 || now - asked > LEASE_REQUEST_TIMEOUT || machines[from].boot != boot
+                {
                     continue;
                 }
-                let given = machines[to].votes.claim(now, from as u32 + 1, claim);
+                let given = machines[to].votes.vote(now, from as u32 + 1, claim);
                 let m = &mut machines[from];
                 if let Some((_, _, votes)) = m.round.as_mut().filter(|r| r.0 == asked && given) {
                     if !votes.contains(&to) {
                         votes.push(to);
                     }
                     if votes.len() >= 2 {
-                        m.duties.won(now, asked, claim);
+                        m.duties.acquire(now, asked, claim);
                     }
                 }
             }
@@ -117,50 +125,50 @@
 
 #[rstest]
 fn a_new_life_of_a_process_frees_what_it_held() {
-    let (mut votes, now) = (Votes::new(0, false), 100 * TERM);
-    let claim = |boot| Claim { group: 3, boot, holds: false };
-    assert!(votes.claim(now, 1, claim(7)));
-    assert!(!votes.claim(now, 2, claim(8)), "held by another");
-    assert!(!votes.claim(now, 1, claim(9)), "its own earlier life may still hold it");
-    votes.hear(now, 1, 9, &[]);
-    assert!(votes.claim(now, 2, claim(8)));
+    let (mut votes, now) = (LeaseVoter::new(0, false), 100 * ROLE_LEASE);
+    let claim = |boot| LeaseRequest { shard: 3, incarnation: boot, renewal: false };
+    assert!(votes.vote(now, 1, claim(7)));
+    assert!(!votes.vote(now, 2, claim(8)), "held by another");
+    assert!(!votes.vote(now, 1, claim(9)), "its own earlier life may still hold it");
+    votes.observe_holder(now, holder(1, 9), &[]);
+    assert!(votes.vote(now, 2, claim(8)));
 }
 
 /// A voter that was alone voted for itself; the others gave the group to another meanwhile. It must follow, or its limiters
 /// ask a machine that holds nothing for as long as both live (voz-comum-antena trouble-3, every second play).
 #[rstest]
 fn a_vote_that_came_to_nothing_gives_way_to_the_holder() {
-    let (mut votes, mut duties, now) = (Votes::new(0, false), Duties::default(), 100 * TERM);
-    let own = duties.claims(now, 1, 7, &[1], &votes)[0];
-    assert!(votes.claim(now, 1, own));
-    votes.hear(now + 1, 2, 8, &[Held { group: own.group, left: TERM }]);
-    assert_eq!(votes.holder(now + 2, own.group), Some((2, 8)));
-    assert!(duties.claims(now + 2, 1, 7, &[1], &votes).iter().all(|c| c.group != own.group));
+    let (mut votes, mut duties, now) = (LeaseVoter::new(0, false), HeldLeases::default(), 100 * ROLE_LEASE);
+    let own = duties.requests(now, holder(1, 7), &[1], &votes)[0];
+    assert!(votes.vote(now, 1, own));
+    votes.observe_holder(now + 1, holder(2, 8), &[HeldLease { shard: own.shard, remaining: ROLE_LEASE }]);
+    assert_eq!(votes.holder(now + 2, own.shard), Some(holder(2, 8)));
+    assert!(duties.requests(now + 2, holder(1, 7), &[1], &votes).iter().all(|c| c.shard != own.shard));
     // A round that counted its vote may still be won: nobody else gets it before that vote's own time.
-    assert!(!votes.claim(now + TERM - 1, 3, Claim { boot: 9, ..own }));
-    duties.won(now, now, own);
-    assert!(duties.holds(now + TERM - 1, own.group));
+    assert!(!votes.vote(now + ROLE_LEASE - 1, 3, LeaseRequest { incarnation: 9, ..own }));
+    duties.acquire(now, now, own);
+    assert!(duties.holds(now + ROLE_LEASE - 1, own.shard));
 }
 
 #[rstest]
 fn a_claim_that_was_lost_frees_its_own_vote() {
-    let mut votes = Votes::new(0, false);
-    let claim = Claim { group: 2, boot: 1, holds: false };
-    assert!(votes.claim(10, 1, claim));
-    votes.release(3, claim);
-    assert!(!votes.claim(11, 2, Claim { boot: 5, ..claim }), "another machine's release");
-    votes.release(1, claim);
-    assert!(votes.claim(12, 2, Claim { boot: 5, ..claim }));
+    let mut votes = LeaseVoter::new(0, false);
+    let claim = LeaseRequest { shard: 2, incarnation: 1, renewal: false };
+    assert!(votes.vote(10, 1, claim));
+    votes.release_vote(3, claim);
+    assert!(!votes.vote(11, 2, LeaseRequest { incarnation: 5, ..claim }), "another machine's release");
+    votes.release_vote(1, claim);
+    assert!(votes.vote(12, 2, LeaseRequest { incarnation: 5, ..claim }));
 }
 
 #[rstest]
 fn a_holding_that_ended_is_not_renewed_by_a_late_answer() {
-    let mut duties = Duties::default();
-    let claim = Claim { group: 0, boot: 1, holds: false };
-    assert!(duties.won(10, 10, claim));
-    let renewed = Claim { holds: true, ..claim };
-    assert!(!duties.won(11 + TERM, 10 + TERM, renewed));
-    assert!(!duties.holds(11 + TERM, 0));
+    let mut duties = HeldLeases::default();
+    let claim = LeaseRequest { shard: 0, incarnation: 1, renewal: false };
+    assert!(duties.acquire(10, 10, claim));
+    let renewed = LeaseRequest { renewal: true, ..claim };
+    assert!(!duties.acquire(11 + ROLE_LEASE, 10 + ROLE_LEASE, renewed));
+    assert!(!duties.holds(11 + ROLE_LEASE, 0));
 }
 
 #[rstest]
@@ -168,14 +176,14 @@
     let nodes: Vec<u32> = (1..=9).collect();
     let mut counts = [0; 10];
     for key in 0..9_000u64 {
-        let all = first(key, nodes.iter().copied()).expect("some");
+        let all = preferred_node(key, nodes.iter().copied()).expect("some");
         counts[all as usize] += 1;
-        let without = first(key, nodes.iter().copied().filter(|n| *n != 5)).expect("some");
+        let without = preferred_node(key, nodes.iter().copied().filter(|n| *n != 5)).expect("some");
         assert!(all == 5 || all == without);
     }
     assert!(counts[1..].iter().all(|c| (800..1_200).contains(c)), "{counts:?}");
     assert!(
-        (0..100).map(|n| group(&format!("tenant{n}"))).collect::<std::collections::BTreeSet<_>>().len()
-            == GROUPS
+        (0..100).map(|n| shard_of(&format!("tenant{n}"))).collect::<std::collections::BTreeSet<_>>().len()
+            == SHARDS
     );
 }
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -2,7 +2,7 @@
 //! and eight times a size. `docs/CAPACITY.md` works the target out from these slopes.
 
 use limeway_distribution::{pack, Board, Poll};
-use limeway_membership::{Presence, Roster};
+use limeway_membership::{MemberHeartbeat, Membership};
 use limeway_quota::count::Count;
 use limeway_quota::escrow::Escrow;
 use limeway_quota::{Ask, Rule};
@@ -76,11 +76,11 @@
     }
 }
 
-fn presence(n: u64) -> Presence {
+fn presence(n: u64) -> MemberHeartbeat {
     let ip = Ipv4Addr::from(0x0a10_0000 + n as u32);
-    Presence {
+    MemberHeartbeat {
         node: ip.into(),
-        front: SocketAddrV4::new(ip, 8389),
+        frontend: SocketAddrV4::new(ip, 8389),
         zone: format!("zone-number-{}", n % 24),
         ready: true,
         age: 0,
@@ -142,17 +142,17 @@
     let first = 80;
     let (mut bytes, mut heard, mut asked) = (Vec::new(), Vec::new(), Vec::new());
     for times in TIMES {
-        let mut roster = Roster::default();
+        let mut roster = Membership::default();
         let mut core = Board::new(1);
         for n in 0..first * times {
-            roster.hear(1_000_000, &presence(n));
+            roster.observe(1_000_000, &presence(n));
         }
-        core.set_members(roster.live(1_000_000).map(|(n, _, z, _)| (n, z.to_owned())).collect());
+        core.set_members(roster.live(1_000_000).map(|m| (m.node, m.zone.to_owned())).collect());
         let limiter = Board::new(2);
         bytes.push(framed(&core.feed(1_000_000, &poll(&limiter, &Board::new(9)), 0)));
         heard.push(quickest(|| {
             for n in 0..first * times {
-                black_box(roster.hear(1_500_000, &presence(n)));
+                black_box(roster.observe(1_500_000, &presence(n)));
             }
         }));
         // Polls without news: the members and servers that the core told last are known.
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Off, SECOND};
 use limeway_consensus::{Slot, Voter};
 use limeway_control_plane::{Ask, Told};
-use limeway_membership::GROUPS;
+use limeway_membership::SHARDS;
 use limeway_routing_config::document::Order;
 use limeway_routing_config::State;
 use limeway_service_registry::Phase;
@@ -312,7 +312,7 @@
         }
         let running = self.machines.iter().filter_map(|m| Some((m.process.as_ref()?, m.offset)));
         let held: Vec<usize> = running.flat_map(|(p, offset)| p.marker.held(t + offset)).collect();
-        if let Some(group) = (0..GROUPS).find(|g| !held.contains(g)) {
+        if let Some(group) = (0..SHARDS).find(|g| !held.contains(g)) {
             return Some(format!("nobody holds group {group} at the end"));
         }
         let seats = |s: &Voter| self.machines[s.node as usize - 1].disk.votes.disk == s.disk;
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -6,7 +6,7 @@
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Ask, Told};
 use limeway_distribution::{Board, Poll};
-use limeway_membership::{Presence, GROUPS};
+use limeway_membership::{MemberHeartbeat, SHARDS};
 use limeway_quota::Request;
 use limeway_routing_config::document::Order;
 use limeway_service_registry::{Phase, Report};
@@ -82,7 +82,7 @@
     failed: BTreeMap<usize, Micros>,
     /// The poll under way: its number, whom, when, and the slot it was sent with.
     poll: (u64, usize, Micros, u64),
-    told: [(u32, u64); GROUPS],
+    told: [limeway_membership::Holder; SHARDS],
 }
 
 /// A server.
@@ -121,7 +121,7 @@
             above: (0, 0, 0),
             failed: BTreeMap::new(),
             poll: (0, 0, 0, 0),
-            told: [(0, 0); GROUPS],
+            told: [limeway_membership::Holder::default(); SHARDS],
         };
         let server = |at: usize, chance: &mut Chance| Server {
             id: format!("s{at}-0"),
@@ -290,11 +290,11 @@
         self.people.flights.remove(&number);
     }
 
-    fn presence(&self, at: usize) -> Presence {
+    fn presence(&self, at: usize) -> MemberHeartbeat {
         let ip = Ipv4Addr::new(10, 9, 0, at as u8 + 1);
-        Presence {
+        MemberHeartbeat {
             node: u32::from(ip),
-            front: SocketAddrV4::new(ip, 80),
+            frontend: SocketAddrV4::new(ip, 80),
             zone: ["z1", "z2"][at % 2].into(),
             ready: true,
             age: 0,
@@ -309,7 +309,9 @@
         let known = limiter.board.state.core_nodes().into_iter().map(|n| n as usize - 1);
         let mut order: Vec<usize> = known.collect();
         order.extend((0..self.machines.len()).filter(|m| self.machines[*m].exists));
-        order.sort_by_key(|m| std::cmp::Reverse(limeway_membership::rank(u64::from(me.node), node(*m))));
+        order.sort_by_key(|m| {
+            std::cmp::Reverse(limeway_membership::rendezvous_weight(u64::from(me.node), node(*m)))
+        });
         let up = order.iter().find(|m| !limiter.failed.contains_key(m));
         let to = up.or(order.first()).copied().unwrap_or(0);
         let (epoch, servers, members) = limiter.above;
@@ -330,16 +332,16 @@
     /// Tells every new holder of a group what is held of it: nothing.
     fn ask_quota(&mut self, at: usize) {
         let me = self.presence(at).node;
-        for group in 0..GROUPS {
+        for group in 0..SHARDS {
             let limiter = &mut self.people.limiters[at];
             let holder = limiter.board.holders[group];
-            if holder.0 == 0 || holder == limiter.told[group] {
+            if holder.node == 0 || holder == limiter.told[group] {
                 continue;
             }
             limiter.told[group] = holder;
             let (term, life, number) = (0, u64::from(me) + 1, 0);
             let request = Request { group, asks: Vec::new(), holds: Some(Vec::new()), term, life, number };
-            self.ask_core(at, 0, holder.0 as usize - 1, Call::Ask(me, vec![request]));
+            self.ask_core(at, 0, holder.node as usize - 1, Call::Ask(me, vec![request]));
         }
     }
 
