--- a/crates/balancer/src/control.rs
+++ b/crates/balancer/src/control.rs
@@ -7,7 +7,7 @@
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound, Stop};
 use limeway_routing_config::document::{self, Order};
-use limeway_service_registry::{Phase, Report};
+use limeway_service_registry::{Phase, ServerReport};
 use miniserde::json::{self, Number, Value};
 use std::cell::Cell;
 use std::net::SocketAddrV4;
@@ -182,7 +182,7 @@
     told(answer)
 }
 
-fn report(id: &str, body: &[u8]) -> Result<Report, &'static str> {
+fn report(id: &str, body: &[u8]) -> Result<ServerReport, &'static str> {
     let text = std::str::from_utf8(body).map_err(|_| "body: is not UTF-8")?;
     let Ok(Value::Object(fields)) = json::from_str::<Value>(text) else {
         return Err("body: is no JSON object");
@@ -202,23 +202,23 @@
         None => 0,
         Some(_) => text("cold-left").and_then(document::time).ok_or("cold-left: is no time with a unit")?,
     };
-    Ok(Report {
+    Ok(ServerReport {
         id: id.to_owned(),
         service: text("target-service").ok_or("target-service: is missing")?.to_owned(),
         address: text("address")
             .and_then(|a| a.parse::<SocketAddrV4>().ok())
             .ok_or("address: is no IPv4 and port")?,
         zone: text("zone").ok_or("zone: is missing")?.to_owned(),
-        slots: number("capacity-slots").unwrap_or(1).clamp(1, 100_000) as u32,
+        capacity_slots: number("capacity-slots").unwrap_or(1).clamp(1, 100_000) as u32,
         phase: match text("state") {
             Some("ready") => Phase::Ready,
             Some("draining") => Phase::Draining,
             _ => return Err("state: is neither ready nor draining"),
         },
-        cold_left: cold_left.min(COLD_MOST),
-        count: number("call-count").ok_or("call-count: is missing")?,
+        slow_start_left: cold_left.min(COLD_MOST),
+        sequence: number("call-count").ok_or("call-count: is missing")?,
         age: 0,
-        silent: false,
+        unresponsive: false,
     })
 }
 
--- a/crates/balancer/src/edge.rs
+++ b/crates/balancer/src/edge.rs
@@ -177,7 +177,7 @@
             .watch
             .servers()
             .values()
-            .filter(|s| s.phase == Phase::Ready && !s.silent && !s.doubted)
+            .filter(|s| s.phase == Phase::Ready && !s.unresponsive && !s.unlisted)
             .count();
         (board.members().len(), live)
     }
@@ -297,7 +297,7 @@
             let since = returned.get(&server.zone).copied().unwrap_or(0);
             let hidden = service.map_or(0, |c| c.cold);
             let cold_until =
-                if since > 0 { server.cold_until.max(since + hidden) } else { server.cold_until };
+                if since > 0 { server.slow_start_until.max(since + hidden) } else { server.slow_start_until };
             // A server that is warm gets no share: it turns cold only by news, which brings a new table.
             let cold = service.filter(|_| cold_until > t);
             let cold_rate = cold.map_or(0.0, |c| self.cold_rate(id, &server.zone, region, c.cold_rate));
@@ -311,10 +311,10 @@
                 address: server.address,
                 region: regions.entry(region).or_insert_with(|| Rc::from(region)).clone(),
                 near,
-                slots: server.slots,
+                slots: server.capacity_slots,
                 cold_until,
                 cold_rate,
-                silent: server.silent || server.doubted,
+                silent: server.unresponsive || server.unlisted,
                 most,
             };
             match table.get_mut(server.service.as_str()) {
@@ -396,7 +396,7 @@
             sleep(Duration::from_secs(1)).await;
             self.pools.prune();
             self.selector.borrow_mut().sweep(now());
-            self.board.borrow_mut().watch.sweep(now(), Micros::MAX);
+            self.board.borrow_mut().watch.expire(now(), Micros::MAX);
         }
     }
 
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -9,7 +9,7 @@
 use limeway_consensus::{NodeId, Slot, Voter};
 use limeway_membership::{Holder, LeaseRequest, MemberHeartbeat};
 use limeway_routing_config::Op;
-use limeway_service_registry::Report;
+use limeway_service_registry::ServerReport;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -110,7 +110,7 @@
             // Once the disk takes writes again, this machine votes again.
             self.write(Vec::new(), out);
         }
-        self.board.watch.sweep(now, MISSED * self.start.heartbeat + 700_000);
+        self.board.watch.expire(now, MISSED * self.start.heartbeat + 700_000);
         self.roster.expire(now);
         self.sweep_counts(now);
         self.refresh(now);
@@ -127,7 +127,7 @@
         let others = self.others();
         let claims = self.claims(now);
         let held = self.duties.held(now);
-        let beats: Vec<Report> = {
+        let beats: Vec<ServerReport> = {
             let ids = std::mem::take(&mut self.beats);
             ids.iter().filter_map(|id| self.board.watch.report(now, id)).collect()
         };
@@ -344,7 +344,7 @@
             pending: self.acceptor.slot_state.accepted.is_some(),
             held: self.duties.held(now),
             given,
-            servers: if ping.all { self.board.watch.all(now) } else { Vec::new() },
+            servers: if ping.all { self.board.watch.full_report(now) } else { Vec::new() },
         }
     }
 
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -30,7 +30,7 @@
 use limeway_quota::count::Count;
 use limeway_quota::Rule;
 use limeway_routing_config::{BadConfig, Order, Plan, State};
-use limeway_service_registry::Report;
+use limeway_service_registry::ServerReport;
 use messages::{Call, Reply, Standing};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,7 +118,7 @@
         begun: bool,
     },
     /// A server reports itself.
-    Beat(Report),
+    Beat(ServerReport),
     /// A server has ended: its id.
     Gone(String),
 }
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -5,7 +5,7 @@
 use limeway_distribution::{Feed, Poll, Steps};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Request};
-use limeway_service_registry::Report;
+use limeway_service_registry::ServerReport;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
@@ -23,7 +23,7 @@
     /// A core machine's round to the others.
     Ping(Box<Ping>),
     /// Servers that are news.
-    Push(Vec<Report>),
+    Push(Vec<ServerReport>),
     /// A limiter wants news.
     Poll(Box<Poll>),
     /// A limiter wants a unit of a tenant for one request that it has now, of what its neighbour holds.
@@ -91,7 +91,7 @@
     pub me: Standing,
     /// Servers heard since the last round that was answered.
     #[serde(rename = "b")]
-    pub beats: Vec<Report>,
+    pub beats: Vec<ServerReport>,
     /// Members that renew their lease there.
     #[serde(rename = "m")]
     pub members: Vec<MemberHeartbeat>,
@@ -123,5 +123,5 @@
     pub given: Vec<usize>,
     /// All that is known of servers, if it was wanted.
     #[serde(rename = "w")]
-    pub servers: Vec<Report>,
+    pub servers: Vec<ServerReport>,
 }
--- a/crates/control/control-plane/src/servers.rs
+++ b/crates/control/control-plane/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::messages::Call;
 use crate::{Action, Asked, Marker, Micros, Token, Told};
 use limeway_consensus::NodeId;
-use limeway_service_registry::{Heard, Phase, Report};
+use limeway_service_registry::{Observation, Phase, ServerReport};
 
 /// Others hear of a step within it.
 const SPREAD_WAIT: Micros = 500_000;
@@ -19,12 +19,12 @@
 
 impl Marker {
     /// Takes reports in. `direct` ones came from the servers themselves and are told on. True if any is news.
-    pub(crate) fn hear_all(&mut self, now: Micros, reports: &[Report], direct: bool) -> bool {
+    pub(crate) fn hear_all(&mut self, now: Micros, reports: &[ServerReport], direct: bool) -> bool {
         let mut news = false;
         for report in reports {
-            let heard = self.board.watch.hear(now, report);
-            news |= heard == Heard::News;
-            if direct && heard != Heard::Late {
+            let heard = self.board.watch.observe(now, report);
+            news |= heard == Observation::Changed;
+            if direct && heard != Observation::Ignored {
                 self.beats.insert(report.id.clone());
             }
         }
@@ -32,7 +32,7 @@
         news
     }
 
-    pub(crate) fn beat(&mut self, now: Micros, token: Token, report: Report, out: &mut Vec<Action>) {
+    pub(crate) fn beat(&mut self, now: Micros, token: Token, report: ServerReport, out: &mut Vec<Action>) {
         if !self.touch(now) {
             // Another machine can tell limiters of it.
             return out.push(Action::Tell(token, Told::Unclear));
@@ -51,7 +51,7 @@
         if !self.touch(now) {
             return out.push(Action::Tell(token, Told::Unclear));
         }
-        let ended = self.board.watch.end(now, id);
+        let ended = self.board.watch.deregister(now, id);
         self.news.fresh = true;
         match ended.then(|| self.board.watch.report(now, id)).flatten() {
             Some(report) => self.spread(Some(token), report, out),
@@ -60,7 +60,7 @@
         }
     }
 
-    fn spread(&mut self, token: Option<Token>, report: Report, out: &mut Vec<Action>) {
+    fn spread(&mut self, token: Option<Token>, report: ServerReport, out: &mut Vec<Action>) {
         let seats: Vec<NodeId> = self.seats().iter().map(|s| s.node).collect();
         let others: Vec<NodeId> = seats.iter().copied().filter(|n| *n != self.start.me).collect();
         let need = seats.len() / 2 + 1;
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -10,7 +10,7 @@
 use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
 use limeway_routing_config::document::Order;
 use limeway_routing_config::{Op, State};
-use limeway_service_registry::{Phase, Report};
+use limeway_service_registry::{Phase, ServerReport};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -64,18 +64,18 @@
     MemberHeartbeat { node: 20, frontend: address(20, 8080), zone: "north-a".into(), ready: true, age: 1_234 }
 }
 
-fn report(phase: Phase) -> Report {
-    Report {
+fn report(phase: Phase) -> ServerReport {
+    ServerReport {
         id: "s-1".into(),
         service: "fonoteca".into(),
         address: address(30, 9000),
         zone: "north-a".into(),
-        slots: 16,
+        capacity_slots: 16,
         phase,
-        cold_left: 500_000,
-        count: 41,
+        slow_start_left: 500_000,
+        sequence: 41,
         age: 250_000,
-        silent: false,
+        unresponsive: false,
     }
 }
 
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -17,7 +17,7 @@
 
 use limeway_membership::{MemberHeartbeat, NodeId, SHARDS};
 use limeway_routing_config::{Op, State};
-use limeway_service_registry::{Report, Watch};
+use limeway_service_registry::{ServerReport, ServiceRegistry};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::cell::RefCell;
@@ -116,7 +116,7 @@
     pub change: u64,
     /// Servers that changed; all if `full`.
     #[serde(rename = "v", with = "parcel::list")]
-    pub servers: Vec<Report>,
+    pub servers: Vec<ServerReport>,
     /// The servers told are all that there are.
     #[serde(rename = "f")]
     pub full: bool,
@@ -148,7 +148,7 @@
     /// It tells those below it on a thin link, and leaves what is big to the core.
     relay: bool,
     /// The servers.
-    pub watch: Watch,
+    pub watch: ServiceRegistry,
     /// The live members.
     members: Vec<Member>,
     members_change: u64,
@@ -210,7 +210,7 @@
             anchors: RefCell::default(),
             gathering: None,
             relay: false,
-            watch: Watch::default(),
+            watch: ServiceRegistry::default(),
             members: Vec::new(),
             members_change: 0,
             holders: [Holder::default(); SHARDS],
@@ -401,7 +401,7 @@
     pub fn has_news(&self, poll: &Poll) -> bool {
         poll.epoch != self.epoch
             || poll.want.slot < self.state.slot
-            || poll.servers != self.watch.change
+            || poll.servers != self.watch.revision
             || poll.members != self.members_change
     }
 
@@ -428,11 +428,11 @@
             slot: self.state.slot,
             steps: self.briefly(&poll.want),
             epoch: self.epoch,
-            change: if telling { self.watch.change } else { 0 },
-            servers: if !telling || (known && since == self.watch.change) {
+            change: if telling { self.watch.revision } else { 0 },
+            servers: if !telling || (known && since == self.watch.revision) {
                 Vec::new()
             } else {
-                self.watch.since(now, since)
+                self.watch.changed_since(now, since)
             },
             full: telling && since == 0,
             holders: self.holders.to_vec(),
@@ -475,16 +475,16 @@
     pub fn take(&mut self, now: Micros, asked: Micros, slot: u64, feed: Feed) -> Changed {
         let trust = self.trust(asked, &feed);
         let mut changed = Changed { state: self.walk(slot, feed.steps), ..Changed::default() };
-        let before = self.watch.change;
+        let before = self.watch.revision;
         for report in &feed.servers {
-            self.watch.hear(now, report);
+            self.watch.observe(now, report);
         }
         if feed.full && trust != Trust::Unsure {
             // Who is not told of may be gone, or the teller may be new itself.
             let told: BTreeSet<&str> = feed.servers.iter().map(|r| r.id.as_str()).collect();
-            self.watch.doubt(|id| !told.contains(id));
+            self.watch.mark_unlisted(|id| !told.contains(id));
         }
-        changed.servers = self.watch.change != before;
+        changed.servers = self.watch.revision != before;
         if trust == Trust::Current {
             if let Some(members) = feed.members {
                 changed.members |= self.set_members(members);
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -16,7 +16,7 @@
     teller.set_members((1..=3).map(|n| (n, "z".to_owned())).collect());
     teller.holders[0] = (1, 11).into();
     for id in [1, 2] {
-        teller.watch.hear(NOW, &report(id, 1, Phase::Ready));
+        teller.watch.observe(NOW, &report(id, 1, Phase::Ready));
     }
     let mut limiter = Board::relay(9);
     let feed = teller.feed(NOW, &poll(&limiter, 0, 0, 0), 0);
@@ -31,7 +31,7 @@
     teller.step(&pack(&Op::Evacuate { zone: "y".into(), begun: true, mark: 0, again: 0 }));
     teller.set_members(vec![(7, "z".to_owned())]);
     teller.holders[0] = (2, 22).into();
-    teller.watch.hear(NOW, &report(1, 2, Phase::Draining));
+    teller.watch.observe(NOW, &report(1, 2, Phase::Draining));
     teller
 }
 
@@ -43,13 +43,13 @@
     let asked = poll(&limiter, teller.epoch, 1, 0);
     let mut feed = teller.feed(NOW, &asked, 0);
     assert_eq!(limiter.trust(NOW, &feed), Trust::Unsure);
-    feed.servers = teller.watch.all(NOW);
+    feed.servers = teller.watch.full_report(NOW);
     // One of an older program may say that its list is full.
     feed.full = true;
     limiter.take(NOW, NOW, asked.want.slot, feed);
     assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11).into()));
     assert!(
-        !limiter.watch.servers()["i-2"].doubted,
+        !limiter.watch.servers()["i-2"].unlisted,
         "an unsure teller's list says nothing of whom it does not name"
     );
     assert_eq!(limiter.watch.servers()["i-1"].phase, Phase::Draining);
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use limeway_membership::MemberHeartbeat;
 use limeway_routing_config::document::{Item, Kind};
 use limeway_routing_config::Op;
-use limeway_service_registry::{Phase, Report};
+use limeway_service_registry::{Phase, ServerReport};
 use std::net::SocketAddrV4;
 
 pub fn presence(node: u32) -> MemberHeartbeat {
@@ -18,18 +18,18 @@
     Poll { me: presence(1), below: Vec::new(), want: board.want(), epoch, servers, members, wait: 600_000 }
 }
 
-pub fn report(id: u64, count: u64, phase: Phase) -> Report {
-    Report {
+pub fn report(id: u64, count: u64, phase: Phase) -> ServerReport {
+    ServerReport {
         id: format!("i-{id}"),
         service: "s".into(),
         address: SocketAddrV4::new([127, 0, (id / 250) as u8, (id % 250) as u8].into(), 80),
         zone: "z".into(),
-        slots: 3,
+        capacity_slots: 3,
         phase,
-        cold_left: 0,
-        count,
+        slow_start_left: 0,
+        sequence: count,
         age: 0,
-        silent: false,
+        unresponsive: false,
     }
 }
 
--- a/crates/control/distribution/tests/feeds.rs
+++ b/crates/control/distribution/tests/feeds.rs
@@ -25,7 +25,7 @@
             again: 0,
         }));
         core.watch
-            .hear(now, &report(step % 40, step, if step % 11 == 0 { Phase::Gone } else { Phase::Ready }));
+            .observe(now, &report(step % 40, step, if step % 11 == 0 { Phase::Gone } else { Phase::Ready }));
         core.set_members(vec![(step as u32 % 5, "z".into())]);
         for (board, (epoch, servers, members), every) in &mut limiters {
             if step % *every == 0 {
@@ -40,8 +40,11 @@
         }
     }
     let live = |b: &Board| -> BTreeMap<String, Phase> {
-        let servers =
-            b.watch.servers().iter().filter(|(_, s)| s.phase != Phase::Gone && !s.silent && !s.doubted);
+        let servers = b
+            .watch
+            .servers()
+            .iter()
+            .filter(|(_, s)| s.phase != Phase::Gone && !s.unresponsive && !s.unlisted);
         servers.map(|(id, s)| (id.clone(), s.phase)).collect()
     };
     for (board, _, every) in &limiters {
@@ -117,7 +120,7 @@
     let mut core = Board::new(7);
     core.sure = 1_000_000;
     for n in 1..=300 {
-        core.watch.hear(1_000_000, &report(n, n, Phase::Ready));
+        core.watch.observe(1_000_000, &report(n, n, Phase::Ready));
     }
     let feed = core.feed(1_000_000, &poll(&Board::relay(1), 0, 0, 0), 0);
     let bytes = pack(&feed);
--- a/crates/control/service-registry/tests/reports.rs
+++ b/crates/control/service-registry/tests/reports.rs
@@ -1,23 +1,23 @@
 //! Reports of servers merge, whatever way they take.
 
-use limeway_service_registry::{Heard, Phase, Report, Watch};
+use limeway_service_registry::{Observation, Phase, ServerReport, ServiceRegistry};
 use rstest::rstest;
 use std::net::SocketAddrV4;
 
 const SECOND: u64 = 1_000_000;
 
-fn report(id: &str, count: u64, phase: Phase) -> Report {
-    Report {
+fn report(id: &str, count: u64, phase: Phase) -> ServerReport {
+    ServerReport {
         id: id.into(),
         service: "s".into(),
         address: SocketAddrV4::new([127, 0, 0, 1].into(), 80),
         zone: "z".into(),
-        slots: 3,
+        capacity_slots: 3,
         phase,
-        cold_left: 0,
-        count,
+        slow_start_left: 0,
+        sequence: count,
         age: 0,
-        silent: false,
+        unresponsive: false,
     }
 }
 
@@ -27,12 +27,12 @@
 #[case(0)]
 #[case(1_400_000)]
 fn a_cold_server_stays_cold_when_its_report_was_passed_on_late(#[case] late: u64) {
-    let (mut first, mut second) = (Watch::default(), Watch::default());
+    let (mut first, mut second) = (ServiceRegistry::default(), ServiceRegistry::default());
     let heard = 100 * SECOND;
-    first.hear(heard, &Report { cold_left: 3 * SECOND, ..report("i-1", 1, Phase::Ready) });
+    first.observe(heard, &ServerReport { slow_start_left: 3 * SECOND, ..report("i-1", 1, Phase::Ready) });
     let passed_on = first.report(heard + late, "i-1").expect("known");
-    second.hear(heard + late, &passed_on);
-    assert_eq!(second.servers()["i-1"].cold_until, heard + 3 * SECOND);
+    second.observe(heard + late, &passed_on);
+    assert_eq!(second.servers()["i-1"].slow_start_until, heard + 3 * SECOND);
 }
 
 /// All orders and repeats of the same reports make the same table.
@@ -46,15 +46,15 @@
     ];
     let now = 100 * SECOND;
     for seed in 0..24usize {
-        let mut watch = Watch::default();
+        let mut watch = ServiceRegistry::default();
         let mut left: Vec<usize> = (0..4).chain([seed % 4, seed / 4 % 4]).collect();
         let mut at = seed;
         while !left.is_empty() {
             at = (at * 7 + 3) % left.len();
-            watch.hear(now, &reports[left.remove(at)]);
+            watch.observe(now, &reports[left.remove(at)]);
         }
         let server = &watch.servers()["a"];
-        assert_eq!((server.phase, server.count), (Phase::Gone, 4), "seed {seed}");
+        assert_eq!((server.phase, server.sequence), (Phase::Gone, 4), "seed {seed}");
     }
 }
 
@@ -63,48 +63,52 @@
 #[case(Phase::Draining)]
 #[case(Phase::Gone)]
 fn a_late_report_does_not_bring_back_a_life(#[case] phase: Phase) {
-    let mut watch = Watch::default();
-    watch.hear(SECOND, &report("a", 5, phase));
-    assert_eq!(watch.hear(2 * SECOND, &report("a", 4, Phase::Ready)), Heard::Late);
+    let mut watch = ServiceRegistry::default();
+    watch.observe(SECOND, &report("a", 5, phase));
+    assert_eq!(watch.observe(2 * SECOND, &report("a", 4, Phase::Ready)), Observation::Ignored);
     assert_eq!(watch.servers()["a"].phase, phase);
 }
 
 /// An address has one life at a time: a new one ends the one before it, and never the other way round.
 #[rstest]
 fn a_new_life_at_an_address_ends_the_one_before() {
-    let mut watch = Watch::default();
-    watch.hear(SECOND, &report("old", 9, Phase::Ready));
-    watch.hear(5 * SECOND, &report("new", 1, Phase::Ready));
+    let mut watch = ServiceRegistry::default();
+    watch.observe(SECOND, &report("old", 9, Phase::Ready));
+    watch.observe(5 * SECOND, &report("new", 1, Phase::Ready));
     assert_eq!(watch.servers()["old"].phase, Phase::Gone);
-    watch.hear(6 * SECOND, &report("old", 8, Phase::Ready));
+    watch.observe(6 * SECOND, &report("old", 8, Phase::Ready));
     assert_eq!(watch.servers()["new"].phase, Phase::Ready);
 }
 
 /// Who falls silent is marked, and is back with its next report; a difference tells just that.
 #[rstest]
 fn silence_is_marked_and_taken_back() {
-    let mut watch = Watch::default();
-    watch.hear(SECOND, &report("a", 1, Phase::Ready));
-    let before = watch.change;
-    watch.sweep(7 * SECOND, 5 * SECOND);
-    assert!(watch.servers()["a"].silent);
-    assert_eq!(watch.since(7 * SECOND, before).len(), 1);
-    assert_eq!(watch.hear(8 * SECOND, &report("a", 2, Phase::Ready)), Heard::News);
-    assert!(!watch.servers()["a"].silent);
-    let before = watch.change;
-    assert_eq!(watch.hear(9 * SECOND, &report("a", 3, Phase::Ready)), Heard::Beat);
-    assert!(watch.since(9 * SECOND, before).is_empty(), "a mere beat is no news for limiters");
+    let mut watch = ServiceRegistry::default();
+    watch.observe(SECOND, &report("a", 1, Phase::Ready));
+    let before = watch.revision;
+    watch.expire(7 * SECOND, 5 * SECOND);
+    assert!(watch.servers()["a"].unresponsive);
+    assert_eq!(watch.changed_since(7 * SECOND, before).len(), 1);
+    assert_eq!(watch.observe(8 * SECOND, &report("a", 2, Phase::Ready)), Observation::Changed);
+    assert!(!watch.servers()["a"].unresponsive);
+    let before = watch.revision;
+    assert_eq!(watch.observe(9 * SECOND, &report("a", 3, Phase::Ready)), Observation::Refreshed);
+    assert!(watch.changed_since(9 * SECOND, before).is_empty(), "a mere beat is no news for limiters");
 }
 
 /// A limiter that goes from one teller to another whose list is not whole yet must not hold the rest to be silent for good
 /// (1 of 100 limiters in a scale run): the second teller's next word on a server ends the doubt, with a report that is known.
 #[rstest]
 fn a_doubt_ends_with_the_next_word_on_a_server() {
-    let mut watch = Watch::default();
-    watch.hear(SECOND, &report("a", 3, Phase::Ready));
-    watch.doubt(|_| true);
-    assert!(watch.report(SECOND, "a").expect("known").silent);
-    assert_eq!(watch.hear(2 * SECOND, &report("a", 2, Phase::Ready)), Heard::Late, "an older word is none");
-    assert_eq!(watch.hear(2 * SECOND, &report("a", 3, Phase::Ready)), Heard::News);
-    assert!(!watch.report(SECOND, "a").expect("known").silent);
+    let mut watch = ServiceRegistry::default();
+    watch.observe(SECOND, &report("a", 3, Phase::Ready));
+    watch.mark_unlisted(|_| true);
+    assert!(watch.report(SECOND, "a").expect("known").unresponsive);
+    assert_eq!(
+        watch.observe(2 * SECOND, &report("a", 2, Phase::Ready)),
+        Observation::Ignored,
+        "an older word is none"
+    );
+    assert_eq!(watch.observe(2 * SECOND, &report("a", 3, Phase::Ready)), Observation::Changed);
+    assert!(!watch.report(SECOND, "a").expect("known").unresponsive);
 }
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -8,7 +8,7 @@
 use limeway_quota::{Ask, Rule};
 use limeway_routing_config::document::Order;
 use limeway_routing_config::{Op, State};
-use limeway_service_registry::{Phase, Report};
+use limeway_service_registry::{Phase, ServerReport};
 use std::collections::BTreeSet;
 use std::hint::black_box;
 use std::mem::forget;
@@ -61,18 +61,18 @@
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
 
-fn report(n: u64, count: u64) -> Report {
-    Report {
+fn report(n: u64, count: u64) -> ServerReport {
+    ServerReport {
         id: format!("i-{:010x}", limeway_membership::hash(&n.to_le_bytes()) >> 24),
         service: format!("service{}", n % 170),
         address: SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + n as u32), 8080),
         zone: format!("zone-number-{}", n % 24),
-        slots: 6,
+        capacity_slots: 6,
         phase: Phase::Ready,
-        cold_left: 0,
-        count,
+        slow_start_left: 0,
+        sequence: count,
         age: 200_000,
-        silent: false,
+        unresponsive: false,
     }
 }
 
@@ -93,7 +93,7 @@
         below: Vec::new(),
         want: board.want(),
         epoch: if known.epoch == board.epoch { 0 } else { known.epoch },
-        servers: known.watch.change,
+        servers: known.watch.revision,
         members: 0,
         wait: 600_000,
     }
@@ -113,7 +113,7 @@
     for times in TIMES {
         let mut core = Board::new(1);
         for n in 0..first * times {
-            core.watch.hear(1_000_000, &report(n, 1));
+            core.watch.observe(1_000_000, &report(n, 1));
         }
         let mut limiter = Board::new(2);
         let asked = poll(&limiter, &Board::new(9));
@@ -127,7 +127,7 @@
         beat.push(quickest(|| {
             count += 1;
             for n in 0..first * times {
-                black_box(core.watch.hear(3_000_000, &report(n, count)));
+                black_box(core.watch.observe(3_000_000, &report(n, count)));
             }
         }));
     }
@@ -300,7 +300,7 @@
     let table = |n: u64| {
         let mut board = Board::new(1);
         (0..n).for_each(|n| {
-            board.watch.hear(1_000_000, &report(n, 1));
+            board.watch.observe(1_000_000, &report(n, 1));
         });
         forget(board);
     };
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -329,7 +329,7 @@
                 ));
             }
             let back = |id: &&String| {
-                limiter.board.watch.servers().get(*id).is_some_and(|s| s.phase == Phase::Ready && !s.doubted)
+                limiter.board.watch.servers().get(*id).is_some_and(|s| s.phase == Phase::Ready && !s.unlisted)
             };
             if let Some(id) = self.people.gone.iter().find(back) {
                 return Some(format!("limiter {at} takes server {id} for ready, whose end was acknowledged"));
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -9,7 +9,7 @@
 use limeway_membership::{MemberHeartbeat, SHARDS};
 use limeway_quota::Request;
 use limeway_routing_config::document::Order;
-use limeway_service_registry::{Phase, Report};
+use limeway_service_registry::{Phase, ServerReport};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -389,17 +389,17 @@
             return self.leave(at);
         }
         server.count += 1;
-        let report = Report {
+        let report = ServerReport {
             id: server.id.clone(),
             service: "a".into(),
             address: SocketAddrV4::new(Ipv4Addr::new(10, 8, 0, at as u8 + 1), 80),
             zone: "z1".into(),
-            slots: 1,
+            capacity_slots: 1,
             phase: Phase::Ready,
-            cold_left: 0,
-            count: server.count,
+            slow_start_left: 0,
+            sequence: server.count,
             age: 0,
-            silent: false,
+            unresponsive: false,
         };
         let to = self.any();
         self.send_ask(to, Who::Server(at), Ask::Beat(report));
