--- a/crates/balancer/src/control.rs
+++ b/crates/balancer/src/control.rs
@@ -6,7 +6,7 @@
 use limeway_control_plane::{Ask, Event, Told};
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound, Stop};
-use limeway_routing_config::document::{self, Order};
+use limeway_routing_config::ConfigUpdate;
 use limeway_service_registry::{Phase, ServerReport};
 use miniserde::json::{self, Number, Value};
 use std::cell::Cell;
@@ -59,8 +59,8 @@
 const CALLS: [Row; 8] = [
     rpc(Name::Beat, "instances.heartbeat", REPORT_MOST),
     rpc(Name::Leave, "instances.deregister", REPORT_MOST),
-    rpc(Name::Replace, "config.replace", document::ORDER_MOST),
-    rpc(Name::Update, "config.update", document::ORDER_MOST),
+    rpc(Name::Replace, "config.replace", limeway_routing_config::config_update::MAX_UPDATE_BYTES),
+    rpc(Name::Update, "config.update", limeway_routing_config::config_update::MAX_UPDATE_BYTES),
     rpc(Name::Read, "config.read", REPORT_MOST),
     rpc(Name::EvacuationStart, "evacuations.start", REPORT_MOST),
     rpc(Name::EvacuationFinish, "evacuations.finish", REPORT_MOST),
@@ -95,8 +95,11 @@
 }
 
 async fn serve(core: Rc<Core>, mut inbound: Inbound) {
-    let bounds =
-        Bounds { body: document::ORDER_MOST, whole: Duration::from_secs(15), idle: Duration::from_secs(30) };
+    let bounds = Bounds {
+        body: limeway_routing_config::config_update::MAX_UPDATE_BYTES,
+        whole: Duration::from_secs(15),
+        idle: Duration::from_secs(30),
+    };
     loop {
         let mut out = Vec::new();
         let message = match inbound.read(bounds).await {
@@ -149,7 +152,7 @@
             Err(e) => error(400, e),
         },
         Name::Leave => told(core.ask(Ask::Gone(of.to_owned())).await),
-        Name::Replace | Name::Update => match Order::read(body, name == Name::Replace) {
+        Name::Replace | Name::Update => match ConfigUpdate::parse(body, name == Name::Replace) {
             Ok(order) => told(core.ask(Ask::Order(order)).await),
             Err(e) => error(400, e),
         },
@@ -200,7 +203,9 @@
     }
     let cold_left = match fields.get("cold-left") {
         None => 0,
-        Some(_) => text("cold-left").and_then(document::time).ok_or("cold-left: is no time with a unit")?,
+        Some(_) => {
+            text("cold-left").and_then(limeway_settings::time).ok_or("cold-left: is no time with a unit")?
+        }
     };
     Ok(ServerReport {
         id: id.to_owned(),
--- a/crates/balancer/src/edge.rs
+++ b/crates/balancer/src/edge.rs
@@ -15,7 +15,7 @@
 use limeway_quota::desk::{Desk, Ticket};
 use limeway_quota::escrow::Take;
 use limeway_quota::Rule;
-use limeway_routing_config::Plan;
+use limeway_routing_config::RoutingSnapshot;
 use limeway_service_registry::Phase;
 use limeway_settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -73,7 +73,7 @@
     pub settings: Settings,
     me: NodeId,
     board: RefCell<Board>,
-    plan: RefCell<Rc<Plan>>,
+    plan: RefCell<Rc<RoutingSnapshot>>,
     table: RefCell<Rc<Table>>,
     /// Which server a request goes to.
     pub selector: RefCell<Selector>,
@@ -137,7 +137,7 @@
     }
 
     /// The configuration in force.
-    pub fn plan(&self) -> Rc<Plan> {
+    pub fn plan(&self) -> Rc<RoutingSnapshot> {
         self.plan.borrow().clone()
     }
 
@@ -256,7 +256,7 @@
         if changed.state {
             let mut board = self.board.borrow_mut();
             if board.state.version != self.plan.borrow().version {
-                let plan = board.state.plan_from(&self.plan.borrow());
+                let plan = board.state.snapshot_from(&self.plan.borrow());
                 match plan {
                     Ok(plan) => *self.plan.borrow_mut() = Rc::new(plan),
                     Err(e) => log::error!("configuration in force cannot be read: {e}"),
@@ -295,15 +295,15 @@
             let service = plan.services.get(&server.service);
             // Until it has reported again, a server of a zone that is taken back may be cold.
             let since = returned.get(&server.zone).copied().unwrap_or(0);
-            let hidden = service.map_or(0, |c| c.cold);
+            let hidden = service.map_or(0, |c| c.slow_start);
             let cold_until =
                 if since > 0 { server.slow_start_until.max(since + hidden) } else { server.slow_start_until };
             // A server that is warm gets no share: it turns cold only by news, which brings a new table.
             let cold = service.filter(|_| cold_until > t);
-            let cold_rate = cold.map_or(0.0, |c| self.cold_rate(id, &server.zone, region, c.cold_rate));
+            let cold_rate = cold.map_or(0.0, |c| self.cold_rate(id, &server.zone, region, c.slow_start_rate));
             // Members are counted as they are known; a few more than those may be on their way.
             let members = board.members().len().max(3) as f64 + 1.0;
-            let connections = service.map_or(0.0, |c| c.connections);
+            let connections = service.map_or(0.0, |c| c.max_connections);
             let most =
                 if connections > 0.0 { (connections / members).floor().max(1.0) as u32 } else { u32::MAX };
             let place = Place {
--- a/crates/balancer/src/edge/quotas.rs
+++ b/crates/balancer/src/edge/quotas.rs
@@ -100,7 +100,7 @@
     /// A neighbour has a request and no unit for it.
     pub(super) fn lend(&self, tenant: &str) -> Reply {
         let plan = self.plan();
-        let span = plan.tenants.get(tenant).and_then(|t| self.rule.span(t.rate, t.burst));
+        let span = plan.tenants.get(tenant).and_then(|t| self.rule.span(t.rate_per_second, t.burst_size));
         let group = limeway_membership::shard_of(tenant);
         let holder = self.holder(group);
         match span {
--- a/crates/balancer/src/service.rs
+++ b/crates/balancer/src/service.rs
@@ -14,7 +14,7 @@
 use limeway_distribution::unpack;
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound};
-use limeway_routing_config::{Op, State};
+use limeway_routing_config::{Operation, State};
 use limeway_settings::{Settings, VARIABLE};
 use limeway_storage::Found;
 use std::cell::Cell;
@@ -94,7 +94,7 @@
         None => State::default(),
     };
     for (_, op) in found.ops.iter().filter(|(slot, _)| *slot <= found.votes.applied) {
-        state.apply(&unpack::<Op>(&unseal(op)?)?);
+        state.apply(&unpack::<Operation>(&unseal(op)?)?);
     }
     (state.slot == found.votes.applied).then_some(state)
 }
--- a/crates/balancer/src/switch.rs
+++ b/crates/balancer/src/switch.rs
@@ -9,7 +9,7 @@
 use limeway_http1::inbound::{Bounds, Inbound, Message, Stop};
 use limeway_load_balancing::verdict::{nowhere, End, Head, Learnt, Next, Try};
 use limeway_load_balancing::Outcome;
-use limeway_routing_config::plan::Limits;
+use limeway_routing_config::routing::Limits;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,8 +57,8 @@
 
 fn bounds(limits: &Limits) -> Bounds {
     Bounds {
-        body: limits.body_bytes.min(BODY_MOST),
-        whole: Duration::from_micros(limits.header_time),
+        body: limits.max_body_bytes.min(BODY_MOST),
+        whole: Duration::from_micros(limits.header_timeout),
         // See `rest`.
         idle: REST_MOST,
     }
@@ -70,7 +70,7 @@
     while !inbound.begun() {
         let told = front.close.notified();
         let plan = edge.plan();
-        let idle = Duration::from_micros(plan.limits.idle_time).min(REST_MOST);
+        let idle = Duration::from_micros(plan.limits.idle_timeout).min(REST_MOST);
         let closing = front.closing.get();
         let wait = if closing { LAST_REST } else { idle.saturating_sub(inbound.rested()) };
         tokio::select! {
@@ -83,7 +83,7 @@
             }
             () = sleep(wait) => {
                 // It may have been raised meanwhile.
-                if !closing && inbound.rested() < Duration::from_micros(edge.plan().limits.idle_time) {
+                if !closing && inbound.rested() < Duration::from_micros(edge.plan().limits.idle_timeout) {
                     continue;
                 }
             }
@@ -99,7 +99,7 @@
         // Until its answer is out, or its end: the process waits for it.
         let _busy = Counted::new(&front.busy);
         let limits = edge.plan().limits.clone();
-        inbound.limit_head(limits.header_bytes);
+        inbound.limit_head(limits.max_header_bytes);
         let message = match inbound.read(bounds(&limits)).await {
             Ok(message) => message,
             Err(Stop::Closed) => return,
@@ -144,24 +144,26 @@
     let start = now();
     let Wanted { route, tenant, parcel, left } = wanted(edge, message)?;
     let service = service(&route);
-    let homes: [&[String]; 2] = [&route.homes, tenant.as_ref().map_or(&[], |t| &t.homes)];
+    let homes: [&[String]; 2] = [&route.allowed_regions, tenant.as_ref().map_or(&[], |t| &t.allowed_regions)];
     if nowhere(homes) {
         // Both bind, and have no region in common: no try at any time can be served, and no unit is spent on it.
         return Err(Own::new(503));
     }
     edge.tries.borrow_mut().first(start, &service);
     if let Some(tenant) = &tenant {
-        if let Err(wait) = edge.unit(&tenant.name, tenant.rate, tenant.burst).await {
+        if let Err(wait) = edge.unit(&tenant.name, tenant.rate_per_second, tenant.burst_size).await {
             return Err(Own::later(429, wait as f64 / 1e6));
         }
     }
-    let mut request = Try::new(parcel.repeatable, route.attempts.min(ATTEMPTS_MOST));
+    let mut request = Try::new(parcel.repeatable, route.max_attempts.min(ATTEMPTS_MOST));
     let end = start + left;
     let mut hunt =
         Hunt { edge, service: &service, homes, parcel: &parcel, end, tried: Vec::new(), instead: None };
     let mut failure = None;
     while request.may_go_on() && now() < end {
-        let Some((id, cold)) = hunt.next(&request, start + route.aim / WAIT_PART).await else { break };
+        let Some((id, cold)) = hunt.next(&request, start + route.target_latency / WAIT_PART).await else {
+            break;
+        };
         hunt.tried.push(id.clone());
         let Some(place) = edge.address(&service, &id) else { continue };
         let t = now();
--- a/crates/balancer/src/wanted.rs
+++ b/crates/balancer/src/wanted.rs
@@ -6,7 +6,7 @@
 use limeway_http1::conn::Reply;
 use limeway_http1::http;
 use limeway_http1::inbound::Message;
-use limeway_routing_config::plan::{Route, Tenant};
+use limeway_routing_config::routing::{Route, Tenant};
 use std::io::Write;
 use std::rc::Rc;
 
@@ -150,8 +150,8 @@
     };
     let key = head.only(bytes, "authorization").map_err(bad)?.and_then(|a| std::str::from_utf8(a).ok());
     let key = key.and_then(|a| a.split_once(' ')).filter(|(s, _)| s.eq_ignore_ascii_case("bearer"));
-    let owner = key.and_then(|(_, key)| plan.owner(key.trim())).cloned();
-    let keyed = plan.keyed() && !route.public;
+    let owner = key.and_then(|(_, key)| plan.tenant_of_key(key.trim())).cloned();
+    let keyed = plan.requires_keys() && !route.public;
     // Without a sure configuration no key is good, on machines that are cut off too.
     if (keyed || owner.is_some()) && !sure {
         return Err(Own::later(503, LATER));
@@ -171,19 +171,19 @@
         to.extend_from_slice(b"\r\n");
     }
     let parcel =
-        Parcel { head: to, body: message.body.clone(), id: id.to_vec(), repeatable: route.repeatable };
+        Parcel { head: to, body: message.body.clone(), id: id.to_vec(), repeatable: route.idempotent };
     Ok(Wanted { left: left.min(route.timeout), route, tenant: owner, parcel })
 }
 
 /// One of a route's services, by their weights.
 pub fn service(route: &Route) -> Rc<str> {
-    let sum: f64 = route.split.iter().map(|(_, w)| w).sum();
+    let sum: f64 = route.traffic_split.iter().map(|(_, w)| w).sum();
     let mut at = (draw() >> 11) as f64 / (1u64 << 53) as f64 * sum;
-    for (name, weight) in &route.split {
+    for (name, weight) in &route.traffic_split {
         if at < *weight {
             return Rc::from(name.as_str());
         }
         at -= weight;
     }
-    Rc::from(route.split.last().map_or("", |(name, _)| name.as_str()))
+    Rc::from(route.traffic_split.last().map_or("", |(name, _)| name.as_str()))
 }
--- a/crates/control/control-plane/src/ballots.rs
+++ b/crates/control/control-plane/src/ballots.rs
@@ -247,7 +247,7 @@
         value: &[u8],
         out: &mut Vec<Action>,
     ) {
-        if slot > self.board.state.slot + 1 || self.board.state.core.is_empty() {
+        if slot > self.board.state.slot + 1 || self.board.state.voters.is_empty() {
             // Who tells is not known from the call; the next round finds out.
             return out.push(Action::Reply(token, Reply::Not));
         }
@@ -271,17 +271,17 @@
             // Decided without this ballot.
             self.ballots.held = None;
         }
-        if self.core != self.board.state.core {
-            self.core.clone_from(&self.board.state.core);
+        if self.core != self.board.state.voters {
+            self.core.clone_from(&self.board.state.voters);
             self.contact.other_seats();
         }
         let is = self.seat().is_some();
         if is && !seated && self.contact.founded {
             self.votes.become_voter(now);
         }
-        (self.contact.seated, self.contact.founded) = (is, !self.board.state.core.is_empty());
+        (self.contact.seated, self.contact.founded) = (is, !self.board.state.voters.is_empty());
         if self.plan.version != self.board.state.version {
-            match self.board.state.plan_from(&self.plan) {
+            match self.board.state.snapshot_from(&self.plan) {
                 Ok(plan) => self.plan = plan.into(),
                 Err(e) => log::error!("configuration in force cannot be read: {e}"),
             }
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -8,7 +8,7 @@
 use crate::{Action, Asked, Marker, Micros, Shown, CORE_MOST, SHOWN_MOST, SHOWS};
 use limeway_consensus::{NodeId, Slot, Voter};
 use limeway_membership::{Holder, LeaseRequest, MemberHeartbeat};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use limeway_service_registry::ServerReport;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
@@ -194,7 +194,7 @@
         self.show(now, pong.me);
         self.votes.observe_holder(now, Holder { node, incarnation: pong.me.boot }, &pong.held);
         let mut heard: Vec<NodeId> = self.seats().iter().map(|s| s.node).collect();
-        heard.extend(&self.board.state.former);
+        heard.extend(&self.board.state.former_voters);
         heard.retain(|n| *n != self.start.me);
         self.votes.complete_recovery(&heard);
         self.hear_all(now, &pong.servers, false);
@@ -283,7 +283,7 @@
         let due =
             std::mem::take(&mut self.contact.finish) && self.contact.pending == self.board.state.slot + 1;
         if due {
-            let nothing = Op::Doors { add: Vec::new(), drop: Vec::new() };
+            let nothing = Operation::SetGateways { add: Vec::new(), remove: Vec::new() };
             self.hold(now, ByteBuf::from(limeway_distribution::pack(&nothing)), out);
         }
         due
@@ -305,7 +305,7 @@
         }
         (shown.last, shown.standing) = (now, standing);
         let seat = Voter { node: standing.node, disk: standing.life };
-        if standing.kept >= self.board.state.slot && !self.board.state.core.contains(&seat) {
+        if standing.kept >= self.board.state.slot && !self.board.state.voters.contains(&seat) {
             // A newcomer that has all.
             self.contact.sets = true;
         }
--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -11,7 +11,7 @@
 impl Marker {
     /// What to claim. Without contact nothing: the votes could not be heard.
     pub(crate) fn claims(&mut self, now: Micros) -> Vec<LeaseRequest> {
-        if self.board.state.core.is_empty()
+        if self.board.state.voters.is_empty()
             || self.seat().is_none()
             || !self.touch(now)
             || self.leaving.is_some()
@@ -19,7 +19,7 @@
             return Vec::new();
         }
         let me = self.start.me;
-        let seats = self.board.state.core.iter();
+        let seats = self.board.state.voters.iter();
         let live = seats.filter(|s| s.node == me || self.well(now, s)).map(|s| s.node);
         let live: Vec<NodeId> = live.collect();
         self.duties.requests(now, Holder { node: me, incarnation: self.start.boot }, &live, &self.votes)
@@ -45,7 +45,7 @@
                 let young = now < self.started + limeway_membership::ROLE_LEASE;
                 let begin = if young { now.max(self.started + length) } else { now + length };
                 let term = self.start.boot ^ now.rotate_left(32);
-                let doors = &self.board.state.doors;
+                let doors = &self.board.state.gateways;
                 self.counts[claim.shard] = Some(Count::new(begin, term, length, doors, false));
                 log::info!(group = claim.shard; "holds a duty");
                 self.news.look = true;
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn sweep_counts(&mut self, now: Micros) {
-        let doors = self.board.state.doors.len();
+        let doors = self.board.state.gateways.len();
         for (group, slot) in self.counts.iter_mut().enumerate() {
             if !self.duties.holds(now, group) {
                 *slot = None;
@@ -67,7 +67,7 @@
 
     pub(crate) fn grant(&mut self, now: Micros, node: NodeId, requests: &[Request]) -> Reply {
         // Who is not agreed to be a limiter would not be asked by the next holder of a count.
-        if !self.board.state.doors.contains(&node) {
+        if !self.board.state.gateways.contains(&node) {
             return Reply::Not;
         }
         let (rule, plan) = (self.start.rule, self.plan.clone());
@@ -79,7 +79,7 @@
             let span = |name: &str| {
                 let tenant =
                     plan.tenants.get(name).filter(|_| limeway_membership::shard_of(name) == group)?;
-                rule.span(tenant.rate, tenant.burst)
+                rule.span(tenant.rate_per_second, tenant.burst_size)
             };
             answers.extend(count.answer(now, now + limeway_quota::BLOCK, node, request, span));
         }
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -29,7 +29,7 @@
 use limeway_membership::{HeldLeases, LeaseVoter, MemberHeartbeat, Membership, SHARDS};
 use limeway_quota::count::Count;
 use limeway_quota::Rule;
-use limeway_routing_config::{BadConfig, Order, Plan, State};
+use limeway_routing_config::{ConfigUpdate, InvalidConfig, RoutingSnapshot, State};
 use limeway_service_registry::ServerReport;
 use messages::{Call, Reply, Standing};
 use serde_bytes::ByteBuf;
@@ -107,7 +107,7 @@
 #[derive(Debug)]
 pub enum Ask {
     /// A change of the configuration.
-    Order(Order),
+    Order(ConfigUpdate),
     /// The newest configuration.
     Read,
     /// A zone is to get nothing, or that is taken back.
@@ -135,7 +135,7 @@
     /// Another version is in place.
     Stale,
     /// It is invalid.
-    Invalid(BadConfig),
+    Invalid(InvalidConfig),
     /// No majority can be had now; an order may or may not be in force later.
     Unclear,
 }
@@ -192,7 +192,7 @@
     /// What it knows, and tells limiters.
     board: Board,
     acceptor: Acceptor,
-    plan: Rc<Plan>,
+    plan: Rc<RoutingSnapshot>,
     /// The seats when this machine last looked.
     core: Vec<Voter>,
     roster: Membership,
@@ -238,17 +238,17 @@
     pub fn new(now: Micros, start: Start, out: &mut Vec<Action>) -> Self {
         let mut board = Board::new(start.boot);
         board.state = start.state.clone();
-        if start.founder && board.state.core.is_empty() {
+        if start.founder && board.state.voters.is_empty() {
             // The same list for all at the first start, and never again: what the settings file says later decides nothing.
             let seeds: BTreeSet<NodeId> = start.seeds.iter().copied().collect();
-            board.state.core = seeds.into_iter().map(|node| Voter { node, disk: 0 }).collect();
+            board.state.voters = seeds.into_iter().map(|node| Voter { node, disk: 0 }).collect();
         }
-        let plan = board.state.plan_from(&Plan::default()).unwrap_or_default();
+        let plan = board.state.snapshot_from(&RoutingSnapshot::default()).unwrap_or_default();
         let mut marker = Marker {
             started: now,
             acceptor: start.acceptor.clone(),
             plan: Rc::new(plan),
-            core: board.state.core.clone(),
+            core: board.state.voters.clone(),
             roster: Membership::default(),
             direct: BTreeMap::new(),
             votes: LeaseVoter::new(now, !start.founder),
@@ -275,7 +275,7 @@
         };
         marker.paper.time(now);
         (marker.contact.seated, marker.contact.founded) =
-            (marker.seat().is_some(), !marker.board.state.core.is_empty());
+            (marker.seat().is_some(), !marker.board.state.voters.is_empty());
         marker.missed.extend(marker.others());
         if marker.start.founder {
             marker.write(Vec::new(), out);
@@ -375,7 +375,7 @@
 
     /// The seats that vote on the next slot; none on a machine that has heard of no core yet.
     fn seats(&self) -> Vec<Voter> {
-        self.board.state.core.clone()
+        self.board.state.voters.clone()
     }
 
     fn majority(&self) -> usize {
--- a/crates/control/control-plane/src/orders.rs
+++ b/crates/control/control-plane/src/orders.rs
@@ -6,8 +6,8 @@
 
 use crate::{Action, Ask, Marker, Micros, Token, Told};
 use limeway_consensus::Slot;
-use limeway_routing_config::evacuation::{Calls, Next as Call};
-use limeway_routing_config::{Op, Order, Plan, Refusal, State};
+use limeway_routing_config::evacuation::{CallStep as Call, EvacuationCalls};
+use limeway_routing_config::{ConfigUpdate, Operation, Rejection, RoutingSnapshot, State};
 use serde_bytes::ByteBuf;
 use std::collections::VecDeque;
 
@@ -22,7 +22,7 @@
 
 #[derive(Debug)]
 enum Wanted {
-    Order(Box<Order>),
+    Order(Box<ConfigUpdate>),
     Evacuate { zone: String, begun: bool, mark: u64 },
     Read,
 }
@@ -36,19 +36,19 @@
     /// Another call of its like is being answered until then.
     after: Micros,
     /// What the state of this slot makes of an order.
-    admitted: Option<(Slot, Result<Op, Refusal>)>,
+    admitted: Option<(Slot, Result<Operation, Rejection>)>,
 }
 
 impl Waiting {
     /// What the state makes of an order: looked at once a slot.
-    fn admit(&mut self, state: &State, plan: &Plan) {
+    fn admit(&mut self, state: &State, plan: &RoutingSnapshot) {
         let Wanted::Order(order) = &self.wanted else { return };
         if self.admitted.as_ref().is_none_or(|(slot, _)| *slot != state.slot) {
             self.admitted = Some((state.slot, state.admit(order, plan)));
         }
     }
 
-    fn op(&mut self) -> Option<Op> {
+    fn op(&mut self) -> Option<Operation> {
         self.admitted.take().and_then(|(_, admitted)| admitted.ok())
     }
 }
@@ -65,7 +65,7 @@
 pub(crate) struct Orders {
     waiting: VecDeque<Waiting>,
     /// Calls about zones whose answers are not known to have arrived.
-    calls: Calls,
+    calls: EvacuationCalls,
     /// Marks of those whose answers have.
     arrived: VecDeque<u64>,
     pub(crate) former_since: Option<Micros>,
@@ -75,7 +75,7 @@
     pub(crate) fn new() -> Self {
         Orders {
             waiting: VecDeque::new(),
-            calls: Calls::default(),
+            calls: EvacuationCalls::default(),
             arrived: VecDeque::new(),
             former_since: None,
         }
@@ -134,19 +134,19 @@
             Wanted::Read if sure => Next::Tell(Told::Document(state.document())),
             Wanted::Read => Next::Wait,
             // It is applied here, so a majority has it on disk.
-            Wanted::Order(order) if state.has_taken(order) => Next::Tell(Told::Done),
+            Wanted::Order(order) if state.has_applied(order) => Next::Tell(Told::Done),
             Wanted::Order(_) => match &waiting.admitted {
                 Some((_, Ok(_))) if touch => Next::Propose,
                 // A machine that is behind must not refuse by an old state.
                 Some((_, Err(refusal))) if sure => Next::Tell(match refusal {
-                    Refusal::Stale(_) => Told::Stale,
-                    Refusal::Invalid(e) => Told::Invalid(e.clone()),
-                    Refusal::Forgotten => Told::Unclear,
+                    Rejection::VersionConflict(_) => Told::Stale,
+                    Rejection::Invalid(e) => Told::Invalid(e.clone()),
+                    Rejection::Forgotten => Told::Unclear,
                 }),
                 _ => Next::Wait,
             },
             Wanted::Evacuate { zone, begun, mark } if sure => {
-                match self.orders.calls.next(now, state, zone, *begun, *mark) {
+                match self.orders.calls.next_step(now, state, zone, *begun, *mark) {
                     Call::Done => Next::Tell(Told::Taken(*mark)),
                     Call::Wait(until) => {
                         waiting.after = until;
@@ -171,12 +171,12 @@
     }
 
     /// A call about a zone that is to be closed.
-    pub(crate) fn next_answered(&mut self, now: Micros) -> Option<Op> {
+    pub(crate) fn next_answered(&mut self, now: Micros) -> Option<Operation> {
         let state = &self.board.state;
-        self.orders.calls.see(now, state);
-        self.orders.arrived.retain(|mark| state.fits(&Op::Answered(*mark)));
-        let old = self.orders.calls.due(now, self.start.ack_timeout).filter(|_| self.proposes(now));
-        self.orders.arrived.front().copied().or(old).map(Op::Answered)
+        self.orders.calls.observe(now, state);
+        self.orders.arrived.retain(|mark| state.applies(&Operation::CloseCall(*mark)));
+        let old = self.orders.calls.expired(now, self.start.ack_timeout).filter(|_| self.proposes(now));
+        self.orders.arrived.front().copied().or(old).map(Operation::CloseCall)
     }
 
     /// Answers what can be answered, and begins the next ballot.
--- a/crates/control/control-plane/src/seats.rs
+++ b/crates/control/control-plane/src/seats.rs
@@ -12,7 +12,7 @@
 
 use crate::{Action, Marker, Micros, Shown, CORE_MOST, SHOWS, TOUCH};
 use limeway_consensus::{NodeId, Voter};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use std::collections::BTreeSet;
 
 /// The first seats are those of the machines that the settings file of the first start names. The others of that start are
@@ -38,7 +38,7 @@
 impl Marker {
     /// Whether this machine knows of no core yet, or its seat is one of an earlier life of its disk and is still to pass on.
     pub(crate) fn recovers(&self) -> bool {
-        let core = &self.board.state.core;
+        let core = &self.board.state.voters;
         self.seat().is_none() && (core.is_empty() || core.iter().any(|s| s.node == self.start.me))
     }
 
@@ -57,7 +57,7 @@
     /// Whether this machine proposes what any may propose: the lowest that is well, or all would outbid each other.
     pub(crate) fn proposes(&self, now: Micros) -> bool {
         let me = self.start.me;
-        let mut seats = self.board.state.core.iter();
+        let mut seats = self.board.state.voters.iter();
         self.seat().is_some()
             && self.touch(now)
             && self.leaving.is_none()
@@ -66,7 +66,7 @@
 
     /// A machine that may be given a seat.
     pub(crate) fn newcomer(&self) -> Option<Voter> {
-        let seats = &self.board.state.core;
+        let seats = &self.board.state.voters;
         let fits = |s: &&Shown| {
             s.standing.counted
                 && s.standing.sound
@@ -85,14 +85,14 @@
     }
 
     /// The next set of seats, if there is to be one.
-    pub(crate) fn next_seats(&mut self, now: Micros) -> Option<Op> {
+    pub(crate) fn next_seats(&mut self, now: Micros) -> Option<Operation> {
         if self.start.founder && now < self.started + FOUNDED {
             return self.founding(now);
         }
         if !self.proposes(now) {
             return None;
         }
-        let mut seats = self.board.state.core.clone();
+        let mut seats = self.board.state.voters.clone();
         let Some(new) = self.newcomer() else { return self.forget(now) };
         // All that was applied is on the newcomer's disk.
         let shown = self.shown.get(&new.node)?;
@@ -117,14 +117,14 @@
             None => return self.forget(now),
         };
         seats.sort_unstable();
-        let mut all: BTreeSet<NodeId> = self.board.state.former.iter().copied().collect();
+        let mut all: BTreeSet<NodeId> = self.board.state.former_voters.iter().copied().collect();
         all.extend(former);
         log::info!(node = new.node; "a newcomer is to have a seat");
         self.orders.former_since = None;
-        Some(Op::Core { seats, former: all.into_iter().collect() })
+        Some(Operation::SetVoters { voters: seats, former_voters: all.into_iter().collect() })
     }
 
-    fn founding(&self, now: Micros) -> Option<Op> {
+    fn founding(&self, now: Micros) -> Option<Operation> {
         let seats = self.seats();
         let place = seats.iter().position(|s| s.node == self.start.me)?;
         if self.seat().is_none() || now < self.started + FOUNDING + place as u64 * FOUNDING_NEXT {
@@ -140,24 +140,24 @@
         let mut all: BTreeSet<Voter> = seats.iter().copied().collect();
         all.extend(shown.filter(|new| !seats.iter().any(|s| s.node == new.node)));
         let all: Vec<Voter> = all.into_iter().take(CORE_MOST).collect();
-        (all != seats).then_some(Op::Core { seats: all, former: Vec::new() })
+        (all != seats).then_some(Operation::SetVoters { voters: all, former_voters: Vec::new() })
     }
 
     /// Those that held a seat hold no duty any more.
-    fn forget(&mut self, now: Micros) -> Option<Op> {
-        if self.board.state.former.is_empty() {
+    fn forget(&mut self, now: Micros) -> Option<Operation> {
+        if self.board.state.former_voters.is_empty() {
             self.orders.former_since = None;
             return None;
         }
         let since = *self.orders.former_since.get_or_insert(now);
-        let seats = self.board.state.core.clone();
-        (now > since + FORMER).then_some(Op::Core { seats, former: Vec::new() })
+        let seats = self.board.state.voters.clone();
+        (now > since + FORMER).then_some(Operation::SetVoters { voters: seats, former_voters: Vec::new() })
     }
 
     /// Limiters that have come and may hold quota, and those that have been away for long.
-    pub(crate) fn next_doors(&mut self, now: Micros) -> Option<Op> {
+    pub(crate) fn next_doors(&mut self, now: Micros) -> Option<Operation> {
         let live: BTreeSet<NodeId> = self.roster.live(now).map(|m| m.node).collect();
-        let doors = &self.board.state.doors;
+        let doors = &self.board.state.gateways;
         self.away.retain(|n, _| doors.contains(n) && !live.contains(n));
         for node in doors.difference(&live) {
             self.away.entry(*node).or_insert(now);
@@ -166,6 +166,6 @@
         let gone = self.away.iter().filter(|(_, since)| now > **since + FORGOTTEN);
         let drop: Vec<NodeId> = gone.map(|(n, _)| *n).collect();
         let news = !add.is_empty() || !drop.is_empty();
-        (news && self.proposes(now)).then_some(Op::Doors { add, drop })
+        (news && self.proposes(now)).then_some(Operation::SetGateways { add, remove: drop })
     }
 }
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -8,8 +8,8 @@
 use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, State};
+use limeway_routing_config::ConfigUpdate;
+use limeway_routing_config::{Operation, State};
 use limeway_service_registry::{Phase, ServerReport};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
@@ -101,24 +101,33 @@
     Answer { group: 2, term: 99, phase, unknown: true, grants: vec![grant] }
 }
 
-fn order(version: u32, base: u32) -> Order {
+fn order(version: u32, base: u32) -> ConfigUpdate {
     let text = format!(
         r#"{{"config-version":"{version:08x}","base-version":"{base:08x}","resource-list":[{{"resource-kind":"services","metadata":{{"name":"s"}},"specification":{{}}}},{{"resource-kind":"tenants","metadata":{{"name":"t{version}"}},"specification":{{"api-keys":["k{version}"]}}}}]}}"#
     );
-    Order::read(text.as_bytes(), true).expect("a valid order")
+    ConfigUpdate::parse(text.as_bytes(), true).expect("a valid order")
 }
 
-fn operations() -> Vec<(&'static str, Op)> {
+fn operations() -> Vec<(&'static str, Operation)> {
     let seats = vec![Voter { node: 1, disk: 0 }, Voter { node: 2, disk: 0 }, Voter { node: 3, disk: 71 }];
     vec![
-        ("op-core", Op::Core { seats, former: vec![4] }),
-        ("op-config", Op::from(order(1, 0))),
-        ("op-config-next", Op::from(order(2, 1))),
-        ("op-doors", Op::Doors { add: vec![20, 21], drop: vec![22] }),
-        ("op-evacuate", Op::Evacuate { zone: "north-a".into(), begun: true, mark: 17, again: 0 }),
-        ("op-evacuate-again", Op::Evacuate { zone: "north-a".into(), begun: true, mark: 19, again: 17 }),
-        ("op-evacuate-other", Op::Evacuate { zone: "south-b".into(), begun: true, mark: 23, again: 0 }),
-        ("op-answered", Op::Answered(19)),
+        ("op-core", Operation::SetVoters { voters: seats, former_voters: vec![4] }),
+        ("op-config", Operation::from(order(1, 0))),
+        ("op-config-next", Operation::from(order(2, 1))),
+        ("op-doors", Operation::SetGateways { add: vec![20, 21], remove: vec![22] }),
+        (
+            "op-evacuate",
+            Operation::Evacuate { zone: "north-a".into(), starts: true, call_id: 17, retry_of: 0 },
+        ),
+        (
+            "op-evacuate-again",
+            Operation::Evacuate { zone: "north-a".into(), starts: true, call_id: 19, retry_of: 17 },
+        ),
+        (
+            "op-evacuate-other",
+            Operation::Evacuate { zone: "south-b".into(), starts: true, call_id: 23, retry_of: 0 },
+        ),
+        ("op-answered", Operation::CloseCall(19)),
     ]
 }
 
--- a/crates/control/distribution/src/follow.rs
+++ b/crates/control/distribution/src/follow.rs
@@ -115,7 +115,7 @@
     /// The relay above, the core machines, the seeds: first choice first.
     fn ways(&self, now: Micros, board: &Board) -> Vec<NodeId> {
         let failed: Vec<NodeId> = self.paused.keys().copied().filter(|n| self.passed_over(now, *n)).collect();
-        let core = board.state.core_nodes();
+        let core = board.state.voter_nodes();
         let seeds = self.seeds.iter().filter(|s| !core.contains(*s));
         // Should none of the core machines that are known answer, the settings file may know better.
         let known: Vec<NodeId> = core.iter().chain(seeds).copied().collect();
@@ -143,7 +143,7 @@
             // From the core, whose links are wide; should none of it be reached, from whoever told of it.
             let core = ways
                 .iter()
-                .filter(|n| board.state.core_nodes().contains(n) || self.seeds.contains(n))
+                .filter(|n| board.state.voter_nodes().contains(n) || self.seeds.contains(n))
                 .find(free);
             let want = Want { room: self.room as u32, ..board.want() };
             return Next::Fetch(core.copied().unwrap_or(lacks.teller), want);
--- a/crates/control/distribution/src/lib.rs
+++ b/crates/control/distribution/src/lib.rs
@@ -16,7 +16,7 @@
 #![forbid(unsafe_code)]
 
 use limeway_membership::{MemberHeartbeat, NodeId, SHARDS};
-use limeway_routing_config::{Op, State};
+use limeway_routing_config::{Operation, State};
 use limeway_service_registry::{ServerReport, ServiceRegistry};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -227,18 +227,18 @@
 
     /// Takes the packed operation of the next slot. False if it cannot be read.
     pub fn step(&mut self, bytes: &[u8]) -> bool {
-        let Some(op) = unpack::<Op>(bytes) else { return false };
+        let Some(op) = unpack::<Operation>(bytes) else { return false };
         self.apply(&op, seal(bytes));
         true
     }
 
     fn step_sealed(&mut self, sealed: Vec<u8>) -> bool {
-        let Some(op) = unseal(&sealed).and_then(|raw| unpack::<Op>(&raw)) else { return false };
+        let Some(op) = unseal(&sealed).and_then(|raw| unpack::<Operation>(&raw)) else { return false };
         self.apply(&op, sealed);
         true
     }
 
-    fn apply(&mut self, op: &Op, sealed: Vec<u8>) {
+    fn apply(&mut self, op: &Operation, sealed: Vec<u8>) {
         self.state.apply(op);
         self.recent_bytes += sealed.len();
         self.recent.push_back(Parcel::new(false, self.state.slot, sealed));
@@ -264,7 +264,7 @@
         if state.slot <= self.state.slot {
             return false;
         }
-        self.state.jump(state);
+        self.state.install(state);
         self.recent.clear();
         self.recent_bytes = 0;
         self.anchors.borrow_mut().clear();
--- a/crates/control/distribution/tests/belief.rs
+++ b/crates/control/distribution/tests/belief.rs
@@ -4,7 +4,7 @@
 
 use common::{core, poll, report};
 use limeway_distribution::{pack, Board, Trust, UNSURE};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use limeway_service_registry::Phase;
 use rstest::rstest;
 
@@ -28,7 +28,7 @@
 /// A machine with other members and holders; it knows server 1's end, not server 2, and an operation more.
 fn other(sure: u64) -> Board {
     let mut teller = core(2, sure, &[1, 2, 3], 0);
-    teller.step(&pack(&Op::Evacuate { zone: "y".into(), begun: true, mark: 0, again: 0 }));
+    teller.step(&pack(&Operation::Evacuate { zone: "y".into(), starts: true, call_id: 0, retry_of: 0 }));
     teller.set_members(vec![(7, "z".to_owned())]);
     teller.holders[0] = (2, 22).into();
     teller.watch.observe(NOW, &report(1, 2, Phase::Draining));
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use limeway_distribution::{pack, Board, Micros, Poll};
 use limeway_membership::MemberHeartbeat;
-use limeway_routing_config::document::{Item, Kind};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
+use limeway_routing_config::{Item, ItemKind};
 use limeway_service_registry::{Phase, ServerReport};
 use std::net::SocketAddrV4;
 
@@ -44,16 +44,16 @@
             draw(3),
             draw(4)
         );
-        Item { kind: Kind::Route, name: format!("r-{seed}-{n}"), spec }
+        Item { kind: ItemKind::Route, name: format!("r-{seed}-{n}"), spec }
     };
     let version = seed as u32;
     let set = (0..count).map(route).collect();
-    pack(&Op::Config {
+    pack(&Operation::UpdateConfig {
         version,
-        base: version.saturating_sub(1),
-        whole: false,
-        set,
-        drop: vec![],
+        base_version: version.saturating_sub(1),
+        replace: false,
+        upserts: set,
+        removals: vec![],
         digest: u128::from(seed),
     })
 }
@@ -70,7 +70,7 @@
 }
 
 /// The operation that seats these machines.
-pub fn seats(machines: &[u32]) -> Op {
+pub fn seats(machines: &[u32]) -> Operation {
     let seats = machines.iter().map(|node| limeway_consensus::Voter { node: *node, disk: 0 });
-    Op::Core { seats: seats.collect(), former: Vec::new() }
+    Operation::SetVoters { voters: seats.collect(), former_voters: Vec::new() }
 }
--- a/crates/control/distribution/tests/feeds.rs
+++ b/crates/control/distribution/tests/feeds.rs
@@ -4,7 +4,7 @@
 
 use common::{poll, report};
 use limeway_distribution::{pack, tree, Board, Member};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use limeway_service_registry::Phase;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,11 +18,11 @@
     for step in 1..=400u64 {
         let now = 1_000_000 * step;
         core.sure = now;
-        core.step(&pack(&Op::Evacuate {
+        core.step(&pack(&Operation::Evacuate {
             zone: format!("z{}", step % 7),
-            begun: step % 3 > 0,
-            mark: 0,
-            again: 0,
+            starts: step % 3 > 0,
+            call_id: 0,
+            retry_of: 0,
         }));
         core.watch
             .observe(now, &report(step % 40, step, if step % 11 == 0 { Phase::Gone } else { Phase::Ready }));
@@ -77,9 +77,9 @@
 fn a_version_never_goes_back() {
     let (mut new, mut old) = (Board::new(1), Board::new(2));
     for n in 0..3 {
-        new.step(&pack(&Op::Doors { add: vec![n], drop: vec![] }));
+        new.step(&pack(&Operation::SetGateways { add: vec![n], remove: vec![] }));
     }
-    old.step(&pack(&Op::Doors { add: vec![0], drop: vec![] }));
+    old.step(&pack(&Operation::SetGateways { add: vec![0], remove: vec![] }));
     let before = new.state.clone();
     let feed = old.feed(0, &poll(&new, 0, 0, 0), 0);
     new.take(0, 0, 3, feed);
--- a/crates/control/distribution/tests/following.rs
+++ b/crates/control/distribution/tests/following.rs
@@ -7,7 +7,7 @@
 use limeway_distribution::parcel::{PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Micros};
 use limeway_membership::NodeId;
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
@@ -74,7 +74,7 @@
         let sure = if how == Teller::InTouch { asked - 200_000 } else { 1 };
         let mut teller = core(u64::from(node), sure, &self.core, 0);
         for mark in 0..self.changes {
-            teller.step(&pack(&Op::Doors { add: vec![mark], drop: Vec::new() }));
+            teller.step(&pack(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
         }
         teller.set_members(self.members.iter().map(|n| (*n, "y".to_owned())).collect());
         let held = if how == Teller::InTouch && !teller.has_news(&poll) { 600_000 } else { 0 };
--- a/crates/control/distribution/tests/parts.rs
+++ b/crates/control/distribution/tests/parts.rs
@@ -5,7 +5,7 @@
 use common::{core, poll, routes};
 use limeway_distribution::parcel::{seal, unseal, Want, PART, PART_LEAST};
 use limeway_distribution::{pack, Board, Steps};
-use limeway_routing_config::Op;
+use limeway_routing_config::Operation;
 use rstest::rstest;
 
 /// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
@@ -13,11 +13,11 @@
     [1, 2].map(|epoch| {
         let mut board = core(epoch, 1, &[1, 2], 3_000);
         for n in 0..after {
-            board.step(&pack(&Op::Evacuate {
+            board.step(&pack(&Operation::Evacuate {
                 zone: format!("z{}", n % 5),
-                begun: n % 2 == 0,
-                mark: 0,
-                again: 0,
+                starts: n % 2 == 0,
+                call_id: 0,
+                retry_of: 0,
             }));
         }
         board
@@ -51,7 +51,12 @@
     let mut tellers = tellers(after);
     if after > 0 {
         // The other one is some slots ahead; what it tells of the whole state is the same all the same.
-        tellers[1].step(&pack(&Op::Evacuate { zone: "ahead".into(), begun: true, mark: 0, again: 0 }));
+        tellers[1].step(&pack(&Operation::Evacuate {
+            zone: "ahead".into(),
+            starts: true,
+            call_id: 0,
+            retry_of: 0,
+        }));
     }
     let mut limiter = Board::relay(9);
     limiter.step(&pack(&common::seats(&[1, 2])));
--- a/crates/control/routing-config/examples/changes.rs
+++ b/crates/control/routing-config/examples/changes.rs
@@ -3,8 +3,8 @@
 //!     cargo run --release -p limeway-routing-config --example changes
 //!     cargo run --release -p limeway-routing-config --example changes -- 2000 47000    memory instead
 
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, Plan, State};
+use limeway_routing_config::config_update::ConfigUpdate;
+use limeway_routing_config::{Operation, RoutingSnapshot, State};
 use std::time::{Duration, Instant};
 
 /// Changes measured for each size.
@@ -60,16 +60,18 @@
 /// A state as a machine reads it, its snapshot, and changes of one route each.
 fn held(routes: usize, tenants: usize) {
     let before = memory().0;
-    let op = Op::from(Order::read(whole(1, routes, tenants, |_| 1_200).as_bytes(), true).expect("form"));
+    let op = Operation::from(
+        ConfigUpdate::parse(whole(1, routes, tenants, |_| 1_200).as_bytes(), true).expect("form"),
+    );
     let mut state = State::default();
     state.apply(&op);
     drop(op);
-    let mut plan = state.plan_from(&Plan::default()).expect("plan");
+    let mut plan = state.snapshot_from(&RoutingSnapshot::default()).expect("plan");
     let first = memory();
     for version in 2..2 + CHANGES {
         let order = update(version, &route(version as usize, 1_200 + version));
-        state.apply(&Op::from(Order::read(order.as_bytes(), false).expect("form")));
-        plan = state.plan_from(&plan).expect("plan");
+        state.apply(&Operation::from(ConfigUpdate::parse(order.as_bytes(), false).expect("form")));
+        plan = state.snapshot_from(&plan).expect("plan");
     }
     println!(
         "{routes} routes, {tenants} tenants: KB before, with the first (at most), after changes (at most)"
@@ -88,10 +90,11 @@
     for (routes, tenants) in [(100, 20), (1_500, 20), (2_000, 47_000)] {
         for (is_whole, changed) in [(false, 1), (true, 20), (true, routes)] {
             let mut state = State::default();
-            let first = Order::read(whole(1, routes, tenants, |_| 1_200).as_bytes(), true).expect("form");
+            let first =
+                ConfigUpdate::parse(whole(1, routes, tenants, |_| 1_200).as_bytes(), true).expect("form");
             state.check(&first).expect("valid");
-            state.apply(&Op::from(first));
-            let mut plan = state.plan_from(&Plan::default()).expect("plan");
+            state.apply(&Operation::from(first));
+            let mut plan = state.snapshot_from(&RoutingSnapshot::default()).expect("plan");
             let (mut read, mut check, mut apply, mut make) = Default::default();
             let mut bytes = 0;
             for version in 2..2 + CHANGES {
@@ -101,13 +104,14 @@
                 } else {
                     update(version, &route(n, timeout))
                 };
-                let order = timed(&mut read, || Order::read(text.as_bytes(), is_whole)).expect("form");
+                let order =
+                    timed(&mut read, || ConfigUpdate::parse(text.as_bytes(), is_whole)).expect("form");
                 let op = timed(&mut check, || state.admit(&order, &plan)).expect("valid");
-                if let Op::Config { set, drop, .. } = &op {
+                if let Operation::UpdateConfig { upserts: set, removals: drop, .. } = &op {
                     bytes += set.iter().map(|i| i.name.len() + i.spec.len()).sum::<usize>() + drop.len() * 20;
                 }
                 timed(&mut apply, || state.apply(&op));
-                plan = timed(&mut make, || state.plan_from(&plan)).expect("plan");
+                plan = timed(&mut make, || state.snapshot_from(&plan)).expect("plan");
             }
             let us = |sum: Duration| sum.as_micros() / u128::from(CHANGES);
             println!(
@@ -119,7 +123,7 @@
                 us(make),
                 bytes / CHANGES as usize
             );
-            assert_eq!(plan, state.plan().expect("anew"));
+            assert_eq!(plan, state.compile_snapshot().expect("anew"));
         }
     }
 }
--- a/crates/control/routing-config/src/evacuation.rs
+++ b/crates/control/routing-config/src/evacuation.rs
@@ -1,68 +1,75 @@
-//! Which call about a zone is a new one, and which is the same one sent again.
+//! Which call about a zone is a new one, and which is a retry.
 //!
-//! A start and a finish have no body and no number, and callers cannot be told apart: what is known of a call is whether its
-//! answer has **arrived**. Whoever takes a call gives it a mark by lot; the state holds the mark as open until its machine has
-//! seen the caller take the answer ([`Op::Answered`]) or until nobody sends it again. A caller without an answer sends its
-//! call again, one with an answer does not. So each open call is followed by one of its like that is the same call again,
-//! and takes its place; any other one is new. Which of several operators sent which makes no difference to the count.
+//! A start and an end of an evacuation have no body and no number, and callers cannot be told apart: what is known of a call is
+//! whether its answer has **arrived**. Whoever takes a call gives it a random id; the state holds the call as open until its
+//! machine has seen the caller take the answer ([`Operation::CloseCall`]) or until nobody retries it. A caller without an answer
+//! retries, one with an answer does not. So the first like call after an open one is its retry and takes its place; any other is
+//! new. Which of several operators sent which makes no difference to the count.
 //!
-//! Free of I/O and clock: [`Calls`] is told the time of the machine's own steady clock.
+//! Free of I/O and clock: [`EvacuationCalls`] takes the time of the machine's own monotonic clock.
 
-use crate::state::{Op, State};
-use crate::Micros;
+use crate::{Operation, State};
+use limeway_types::{Micros, Timestamp, SECOND};
 use std::collections::BTreeMap;
 
-/// The answer of a call that is just being given is waited for so long before a like one is held to be the same again.
-const UNDER_WAY: Micros = 500_000;
-/// How long after `ack-timeout` a call is held to be open: what a caller that gave up may have had on its way.
-const LATE: Micros = 2_000_000;
+/// The machine that took a call may still be answering it for so long: until then a like call waits.
+const RESPONSE_GRACE: Micros = 500_000;
+/// How long after `ack-timeout` a call stays open: a caller that gave up may have had a last retry on its way.
+const LATE_RETRY_MARGIN: Micros = 2 * SECOND;
 
-/// What a machine does with a call.
+/// What a replica does with a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
-    /// It is in force, or there is nothing to take back: 200.
+pub enum CallStep {
+    /// It is in force, or there is nothing to end: confirm it.
     Done,
-    /// This operation is to be chosen, as long as it fits the state ([`State::fits`]); then ask again.
-    Propose(Op),
-    /// Another call of its like is being answered: ask again then, or once the state has changed.
-    Wait(Micros),
+    /// Propose this operation, as long as it applies to the state ([`State::applies`]); then ask again.
+    Propose(Operation),
+    /// A like call is being answered: ask again at this time, or once the state has changed.
+    Wait(Timestamp),
 }
 
-/// What a core machine knows of open calls: since when it has seen them.
+/// When this replica has first seen each open call.
 #[derive(Debug, Clone, Default)]
-pub struct Calls {
-    seen: BTreeMap<u64, Micros>,
+pub struct EvacuationCalls {
+    first_seen: BTreeMap<u64, Timestamp>,
 }
 
-impl Calls {
-    /// Takes a look at the state: after each operation, or at least once a second.
-    pub fn see(&mut self, now: Micros, state: &State) {
-        self.seen.retain(|mark, _| state.open_calls().iter().any(|c| c.mark == *mark));
+impl EvacuationCalls {
+    /// Looks at the state: after each operation, or at least once a second.
+    pub fn observe(&mut self, now: Timestamp, state: &State) {
+        self.first_seen.retain(|call_id, _| state.open_calls().iter().any(|c| c.call_id == *call_id));
         for call in state.open_calls() {
-            self.seen.entry(call.mark).or_insert(now);
+            self.first_seen.entry(call.call_id).or_insert(now);
         }
     }
 
-    /// What to do with the call that was given this mark, not 0, on a state that is as new as the call.
-    pub fn next(&mut self, now: Micros, state: &State, zone: &str, begun: bool, mark: u64) -> Next {
-        self.see(now, state);
+    /// What to do with the call that was given this id, which is not 0, on a state that is confirmed as of the call's arrival.
+    pub fn next_step(
+        &mut self,
+        now: Timestamp,
+        state: &State,
+        zone: &str,
+        starts: bool,
+        call_id: u64,
+    ) -> CallStep {
+        self.observe(now, state);
         let in_force = state.evacuated.contains_key(zone);
-        let Some(op) = state.evacuate(zone, begun, mark) else { return Next::Done };
-        let again = match &op {
-            Op::Evacuate { again, .. } => *again,
+        let Some(operation) = state.evacuation(zone, starts, call_id) else { return CallStep::Done };
+        let retry_of = match &operation {
+            Operation::Evacuate { retry_of, .. } => *retry_of,
             _ => 0,
         };
-        // It may still be answered by the machine that took it. With nothing in force, both mean the same.
-        let until = self.seen.get(&again).map_or(0, |seen| seen + UNDER_WAY);
-        if in_force && now < until {
-            return Next::Wait(until);
+        // The open call may still be answered by the machine that took it. With nothing in force, both mean the same.
+        let answered_by = self.first_seen.get(&retry_of).map_or(0, |seen| seen + RESPONSE_GRACE);
+        if in_force && now < answered_by {
+            return CallStep::Wait(answered_by);
         }
-        Next::Propose(op)
+        CallStep::Propose(operation)
     }
 
-    /// A call that nobody will send again, to be closed with [`Op::Answered`].
-    pub fn due(&self, now: Micros, ack_timeout: Micros) -> Option<u64> {
-        let old = |seen: &Micros| now >= seen.saturating_add(ack_timeout + LATE);
-        self.seen.iter().find(|(_, seen)| old(seen)).map(|(mark, _)| *mark)
+    /// An open call that nobody will retry, to be closed with [`Operation::CloseCall`].
+    pub fn expired(&self, now: Timestamp, ack_timeout: Micros) -> Option<u64> {
+        let expired = |seen: &Timestamp| now >= seen.saturating_add(ack_timeout + LATE_RETRY_MARGIN);
+        self.first_seen.iter().find(|(_, seen)| expired(seen)).map(|(call_id, _)| *call_id)
     }
 }
--- a/crates/control/routing-config/src/lib.rs
+++ b/crates/control/routing-config/src/lib.rs
@@ -1,27 +1,33 @@
-//! The configuration of the whole system.
+//! The configuration of the whole system, and the agreed state that it is part of.
 //!
-//! - [`document`]: reads what an operator sends and checks its form, naming the field that is wrong;
-//! - [`items`]: the items by kind and name, and what an order changes of them;
-//! - [`state`]: the agreed state, made of operations one after the other: the configuration, the zones that are evacuated,
-//!   the core machines;
-//! - [`plan`]: an immutable snapshot that answers for a request: which route, which tenant, which services;
-//! - [`evacuation`]: which call about a zone is a new one, and which the same one sent again.
+//! - [`item`], [`config_update`], [`specification`], [`document`]: what operators send and read back;
+//! - [`items`]: the items by kind and name, and what an update changes of them;
+//! - [`operation`], [`state`]: the replicated state machine: operations, and the state that they make one after the other;
+//! - [`routing`]: an immutable snapshot that answers for a request: which route, which tenant, which services;
+//! - [`evacuation`]: which call about a zone is a new one, and which is a retry.
 //!
 //! Free of I/O and clock.
 #![forbid(unsafe_code)]
 
+mod admission;
+mod changed_items;
+mod compile;
+pub mod config_update;
 pub mod document;
 pub mod evacuation;
+pub mod item;
 pub mod items;
-pub mod plan;
-pub mod shards;
+pub mod operation;
+pub mod routing;
+pub mod sharded_map;
+pub mod specification;
 pub mod state;
 
-pub use document::{BadConfig, Item, Kind, Order};
-pub use plan::{Plan, Route, Service, Tenant};
-pub use state::{Op, Refusal, State};
+pub use config_update::{ConfigUpdate, InvalidConfig};
+pub use item::{Item, ItemKind, ItemRef};
+pub use operation::Operation;
+pub use routing::{Route, RoutingSnapshot, Service, Tenant};
+pub use state::{Rejection, State};
 
-/// A time or a length of time, in microseconds.
-pub type Micros = u64;
 /// A configuration's version: eight hexadecimal digits on the wire.
 pub type Version = u32;
--- a/crates/control/routing-config/tests/changes.rs
+++ b/crates/control/routing-config/tests/changes.rs
@@ -1,7 +1,7 @@
 //! Orders as differences and snapshots made from the last one: the same as taking each whole, in any sequence of changes.
 
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, Plan, State};
+use limeway_routing_config::config_update::ConfigUpdate;
+use limeway_routing_config::{Operation, RoutingSnapshot, State};
 use rstest::rstest;
 use std::rc::Rc;
 
@@ -34,7 +34,7 @@
         format!("{{\"resource-kind\":\"{kind}\",\"metadata\":{{\"name\":\"n{n}\"}},\"specification\":{{{specification}}}}}")
     }
 
-    fn order(&mut self, base: u32) -> Order {
+    fn order(&mut self, base: u32) -> ConfigUpdate {
         let version = base + 1 + self.below(3) as u32;
         let versions = format!("\"config-version\":\"{version:08x}\",\"base-version\":\"{base:08x}\"");
         let whole = self.below(3) == 0;
@@ -47,7 +47,7 @@
             let remove = format!("\"remove\":{{\"{kind}\":[\"n{}\",\"n{}\"]}}", self.below(6), self.below(6));
             format!("{{{versions},\"upsert\":{{{list}}},{remove}}}")
         };
-        Order::read(text.as_bytes(), whole).expect("form")
+        ConfigUpdate::parse(text.as_bytes(), whole).expect("form")
     }
 }
 
@@ -58,7 +58,7 @@
         let mut draw = Draw(seed);
         // By differences; whole; and one that looks seldom, and then takes the whole state.
         let (mut state, mut twin, mut late) = (State::default(), State::default(), State::default());
-        let (mut plan, mut late_plan) = (Plan::default(), Plan::default());
+        let (mut plan, mut late_plan) = (RoutingSnapshot::default(), RoutingSnapshot::default());
         for _ in 0..30 {
             let order = draw.order(state.version);
             let (checked, admitted) = (state.check(&order), state.admit(&order, &plan));
@@ -69,19 +69,19 @@
             };
             taken += 1;
             state.apply(&op);
-            twin.apply(&Op::from(order));
+            twin.apply(&Operation::from(order));
             assert_eq!((&state, state.document()), (&twin, twin.document()), "seed {seed}");
             if draw.below(3) > 0 {
                 // From another one than the last it is made anew.
-                let last = if draw.below(9) == 0 { &Plan::default() } else { &plan };
-                plan = state.plan_from(last).expect("plan");
-                assert_eq!(plan, state.plan().expect("anew"), "seed {seed}");
+                let last = if draw.below(9) == 0 { &RoutingSnapshot::default() } else { &plan };
+                plan = state.snapshot_from(last).expect("plan");
+                assert_eq!(plan, state.compile_snapshot().expect("anew"), "seed {seed}");
                 assert_eq!(plan, checked, "seed {seed}");
             }
             if draw.below(6) == 0 {
-                late.jump(twin.clone());
-                late_plan = late.plan_from(&late_plan).expect("plan");
-                assert_eq!(late_plan, late.plan().expect("anew"), "seed {seed}");
+                late.install(twin.clone());
+                late_plan = late.snapshot_from(&late_plan).expect("plan");
+                assert_eq!(late_plan, late.compile_snapshot().expect("anew"), "seed {seed}");
             }
         }
     }
@@ -90,7 +90,7 @@
 
 const SERVICE: &str = r#"{"resource-kind":"services","metadata":{"name":"s"},"specification":{}}"#;
 
-fn routes(version: u32, timeout: impl Fn(u32) -> u32) -> Order {
+fn routes(version: u32, timeout: impl Fn(u32) -> u32) -> ConfigUpdate {
     let route = |n: u32| {
         let timeout = timeout(n);
         format!(",{{\"resource-kind\":\"routes\",\"metadata\":{{\"name\":\"r{n}\"}},\"specification\":{{\"hostname\":\"h\",\"path-prefix\":\"/{n}/\",\"route-type\":\"idempotent\",\"timeout\":\"{timeout}ms\",\"target-service\":\"s\"}}}}")
@@ -98,12 +98,14 @@
     let list: String = (0..1_500).map(route).collect();
     let base = version - 1;
     let text = format!("{{\"config-version\":\"{version:08x}\",\"base-version\":\"{base:08x}\",\"resource-list\":[{SERVICE}{list}]}}");
-    Order::read(text.as_bytes(), true).expect("form")
+    ConfigUpdate::parse(text.as_bytes(), true).expect("form")
 }
 
-fn parts(op: &Op) -> (bool, usize, usize) {
+fn parts(op: &Operation) -> (bool, usize, usize) {
     match op {
-        Op::Config { whole, set, drop, .. } => (*whole, set.len(), drop.len()),
+        Operation::UpdateConfig { replace: whole, upserts: set, removals: drop, .. } => {
+            (*whole, set.len(), drop.len())
+        }
         other => panic!("{other:?}"),
     }
 }
@@ -111,18 +113,18 @@
 #[rstest]
 fn a_whole_order_of_1500_routes_goes_as_the_few_that_differ_and_shares_the_rest() {
     let mut state = State::default();
-    let first = state.difference(&routes(1, |_| 900));
+    let first = state.minimal_operation(&routes(1, |_| 900));
     assert_eq!(parts(&first), (true, 1_501, 0), "the first differs in all: it stays whole");
     state.apply(&first);
-    let before = state.plan_from(&Plan::default()).expect("plan");
+    let before = state.snapshot_from(&RoutingSnapshot::default()).expect("plan");
     let order = routes(2, |n| 900 + n / 1_498);
     let op = state.admit(&order, &before).expect("valid");
     assert_eq!(parts(&op), (false, 2, 0));
     state.apply(&op);
-    assert!(state.has_taken(&order), "it is known by the order's own digest");
-    let after = state.plan_from(&before).expect("plan");
+    assert!(state.has_applied(&order), "it is known by the order's own digest");
+    let after = state.snapshot_from(&before).expect("plan");
     let same = |path: &str| {
-        let of = |plan: &Plan| plan.route("h", path).expect("route").clone();
+        let of = |plan: &RoutingSnapshot| plan.route("h", path).expect("route").clone();
         Rc::ptr_eq(&of(&before), &of(&after))
     };
     assert!(same("/7/x") && !same("/1499/x"));
--- a/crates/control/routing-config/tests/known.rs
+++ b/crates/control/routing-config/tests/known.rs
@@ -1,8 +1,8 @@
 //! One number to one change: how an order is known again, and what each kind of bad one is answered.
 
-use limeway_routing_config::document::{Order, ITEMS_MOST};
-use limeway_routing_config::state::TAKEN_MOST;
-use limeway_routing_config::{Kind, Op, Refusal, State};
+use limeway_routing_config::config_update::{ConfigUpdate, MAX_ITEMS};
+use limeway_routing_config::state::MAX_APPLIED_UPDATES;
+use limeway_routing_config::{ItemKind, Operation, Rejection, State};
 use rstest::rstest;
 use serde::Serialize;
 
@@ -12,28 +12,28 @@
     format!("{{\"config-version\":\"{version:08x}\",\"base-version\":\"{base:08x}\",\"resource-list\":[{items}]}}")
 }
 
-fn order(version: u32, base: u32) -> Order {
-    Order::read(body(version, base, ITEMS).as_bytes(), true).expect("form")
+fn order(version: u32, base: u32) -> ConfigUpdate {
+    ConfigUpdate::parse(body(version, base, ITEMS).as_bytes(), true).expect("form")
 }
 
 /// The answer that a machine in touch gives.
 fn answer(state: &State, text: &str) -> u16 {
-    let Ok(order) = Order::read(text.as_bytes(), true) else { return 400 };
-    if state.has_taken(&order) {
+    let Ok(order) = ConfigUpdate::parse(text.as_bytes(), true) else { return 400 };
+    if state.has_applied(&order) {
         return 200;
     }
     match state.check(&order) {
         Ok(_) => 200,
-        Err(Refusal::Invalid(_)) => 400,
-        Err(Refusal::Stale(_)) => 412,
-        Err(Refusal::Forgotten) => 503,
+        Err(Rejection::Invalid(_)) => 400,
+        Err(Rejection::VersionConflict(_)) => 412,
+        Err(Rejection::Forgotten) => 503,
     }
 }
 
 /// A state after changes up to a version, each on the last.
 fn state(version: u32) -> State {
     let mut state = State::default();
-    (1..=version).for_each(|v| state.apply(&Op::from(order(v, v - 1))));
+    (1..=version).for_each(|v| state.apply(&Operation::from(order(v, v - 1))));
     state
 }
 
@@ -71,7 +71,7 @@
 
 #[rstest]
 fn an_order_that_was_taken_is_known_from_a_snapshot_after_hundreds_of_others() {
-    let last = TAKEN_MOST as u32 + 5;
+    let last = MAX_APPLIED_UPDATES as u32 + 5;
     let state = state(last);
     let read: State = ciborium::from_reader(packed(&state).as_slice()).expect("read");
     assert_eq!(read, state);
@@ -88,15 +88,22 @@
 fn a_configuration_grows_to_its_bound_by_no_number_of_orders() {
     let mut state = State::default();
     let item =
-        |n| limeway_routing_config::Item { kind: Kind::Service, name: format!("{n}"), spec: "{}".into() };
-    let set = (0..ITEMS_MOST).map(item).collect();
-    state.apply(&Op::Config { version: 1, base: 0, whole: true, set, drop: vec![], digest: 0 });
+        |n| limeway_routing_config::Item { kind: ItemKind::Service, name: format!("{n}"), spec: "{}".into() };
+    let set = (0..MAX_ITEMS).map(item).collect();
+    state.apply(&Operation::UpdateConfig {
+        version: 1,
+        base_version: 0,
+        replace: true,
+        upserts: set,
+        removals: vec![],
+        digest: 0,
+    });
     // A route without its fields: where there is room for it, that is what is wrong.
     let text = "{\"config-version\":2,\"base-version\":1,\"upsert\":{\"resource-list\":[{\"resource-kind\":\"routes\",\"metadata\":{\"name\":\"r\"},\"specification\":{}}]},\"remove\":{\"services\":[\"7\"]}}";
-    let mut order = Order::read(text.as_bytes(), false).expect("form");
+    let mut order = ConfigUpdate::parse(text.as_bytes(), false).expect("form");
     for reason in ["is missing", "makes too many items"] {
-        assert!(matches!(state.check(&order), Err(Refusal::Invalid(e)) if e.reason == reason));
-        order.drop.clear();
+        assert!(matches!(state.check(&order), Err(Rejection::Invalid(e)) if e.reason == reason));
+        order.removals.clear();
     }
 }
 
@@ -104,15 +111,15 @@
 fn a_change_on_top_of_another_version_is_none() {
     let mut state = state(3);
     let (one, other) = (order(5, 3), order(4, 3));
-    state.apply(&Op::from(one.clone()));
-    state.apply(&Op::from(other.clone()));
+    state.apply(&Operation::from(one.clone()));
+    state.apply(&Operation::from(other.clone()));
     assert_eq!((state.version, state.slot), (5, 5));
-    assert!(state.has_taken(&one) && !state.has_taken(&other));
+    assert!(state.has_applied(&one) && !state.has_applied(&other));
 }
 
 #[rstest]
 fn a_digest_is_of_all_that_an_order_says_and_of_nothing_else() {
-    let read = |text: &str, whole| Order::read(text.as_bytes(), whole).expect("form").digest;
+    let read = |text: &str, whole| ConfigUpdate::parse(text.as_bytes(), whole).expect("form").digest;
     let words = [
         body(2, 1, "{\"resource-kind\":\"services\",\"metadata\":{\"name\":\"ab\"},\"specification\":{}}"),
         body(2, 1, ""),
@@ -153,7 +160,7 @@
 #[rstest]
 fn a_state_of_an_earlier_build_is_read() {
     let item = |name: &str| limeway_routing_config::Item {
-        kind: Kind::Service,
+        kind: ItemKind::Service,
         name: name.into(),
         spec: "{}".into(),
     };
--- a/crates/control/routing-config/tests/orders.rs
+++ b/crates/control/routing-config/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of operators: every kind of invalid one names what is wrong and changes nothing; valid ones are read back as sent.
 
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, Refusal, State};
+use limeway_routing_config::config_update::ConfigUpdate;
+use limeway_routing_config::{Operation, Rejection, State};
 use miniserde::json::{self, Value};
 use rstest::rstest;
 
@@ -22,9 +22,9 @@
 }
 
 fn take(state: &mut State, text: &str, whole: bool) {
-    let order = Order::read(text.as_bytes(), whole).expect("form");
+    let order = ConfigUpdate::parse(text.as_bytes(), whole).expect("form");
     state.check(&order).expect("valid");
-    state.apply(&Op::from(order));
+    state.apply(&Operation::from(order));
 }
 
 #[rstest]
@@ -48,9 +48,9 @@
 fn an_invalid_configuration_says_what_is_wrong(#[case] items: &str, #[case] reason: &str) {
     let before = state();
     let text = body("00000003", "00000002", &[items, SERVICES].join(","));
-    let refused = before.check(&Order::read(text.as_bytes(), true).expect("form"));
+    let refused = before.check(&ConfigUpdate::parse(text.as_bytes(), true).expect("form"));
     match refused {
-        Err(Refusal::Invalid(e)) => assert_eq!(e.reason, reason, "{e}"),
+        Err(Rejection::Invalid(e)) => assert_eq!(e.reason, reason, "{e}"),
         other => panic!("{other:?}"),
     }
 }
@@ -64,8 +64,8 @@
 #[case::no_name(r#"{"config-version":"00000003","resource-list":[{"resource-kind":"routes","metadata":{},"specification":{}}]}"#)]
 #[case::not_utf8("")]
 fn an_order_without_form_is_refused(#[case] text: &str) {
-    assert!(Order::read(text.as_bytes(), true).is_err());
-    assert!(Order::read(&[0xff, 0xfe], true).is_err());
+    assert!(ConfigUpdate::parse(text.as_bytes(), true).is_err());
+    assert!(ConfigUpdate::parse(&[0xff, 0xfe], true).is_err());
 }
 
 #[rstest]
@@ -74,8 +74,9 @@
 #[case::base_of_the_future("00000004", "00000003", true)]
 fn versions_go_forward_one_on_the_other(#[case] version: &str, #[case] base: &str, #[case] stale: bool) {
     let text = body(version, base, SERVICES);
-    let refused = state().check(&Order::read(text.as_bytes(), true).expect("form")).expect_err("refused");
-    assert_eq!(matches!(refused, Refusal::Stale(2)), stale, "{refused:?}");
+    let refused =
+        state().check(&ConfigUpdate::parse(text.as_bytes(), true).expect("form")).expect_err("refused");
+    assert_eq!(matches!(refused, Rejection::VersionConflict(2)), stale, "{refused:?}");
 }
 
 #[rstest]
@@ -85,16 +86,16 @@
     let text = format!(
         r#"{{"config-version":"00000005","base-version":"00000002","upsert":{{"resource-list":[{changed}]}},"remove":{{"routes":["r2"],"tenants":["t1"]}}}}"#
     );
-    let order = Order::read(text.as_bytes(), false).expect("form");
-    assert!(!state.has_taken(&order));
+    let order = ConfigUpdate::parse(text.as_bytes(), false).expect("form");
+    assert!(!state.has_applied(&order));
     take(&mut state, &text, false);
-    assert!(state.has_taken(&order), "the same order again is known");
-    let plan = state.plan().expect("plan");
+    assert!(state.has_applied(&order), "the same order again is known");
+    let plan = state.compile_snapshot().expect("plan");
     assert_eq!(plan.route("a.example", "/x/long/1").expect("route").timeout, 900_000);
     assert_eq!((plan.services.len(), plan.tenants.len()), (2, 0));
     // Another order under the same version is another order.
-    let other = Order::read(text.replace("900ms", "901ms").as_bytes(), false).expect("form");
-    assert!(!state.has_taken(&other));
+    let other = ConfigUpdate::parse(text.replace("900ms", "901ms").as_bytes(), false).expect("form");
+    assert!(!state.has_applied(&other));
 }
 
 #[rstest]
@@ -109,18 +110,18 @@
     #[case] path: &str,
     #[case] route: Option<&str>,
 ) {
-    let plan = state().plan().expect("plan");
+    let plan = state().compile_snapshot().expect("plan");
     assert_eq!(plan.route(host, path).map(|r| r.name.as_str()), route);
 }
 
 #[rstest]
 fn limiters_and_zones_come_and_go_with_the_state() {
     let mut state = state();
-    state.apply(&Op::Doors { add: vec![1, 2], drop: vec![] });
-    state.apply(&Op::Doors { add: vec![3], drop: vec![1] });
-    state.apply(&Op::Evacuate { zone: "z".into(), begun: true, mark: 0, again: 0 });
-    assert_eq!((state.doors.len(), state.evacuated.len(), state.slot), (2, 1, 4));
-    state.apply(&Op::Evacuate { zone: "z".into(), begun: false, mark: 0, again: 0 });
+    state.apply(&Operation::SetGateways { add: vec![1, 2], remove: vec![] });
+    state.apply(&Operation::SetGateways { add: vec![3], remove: vec![1] });
+    state.apply(&Operation::Evacuate { zone: "z".into(), starts: true, call_id: 0, retry_of: 0 });
+    assert_eq!((state.gateways.len(), state.evacuated.len(), state.slot), (2, 1, 4));
+    state.apply(&Operation::Evacuate { zone: "z".into(), starts: false, call_id: 0, retry_of: 0 });
     assert!(state.evacuated.is_empty());
 }
 
@@ -130,7 +131,7 @@
 fn an_evacuation_lasts_until_the_last_of_them_is_taken_back() {
     let mut state = state();
     let step = |state: &mut State, begun| {
-        state.apply(&Op::Evacuate { zone: "z".into(), begun, mark: 0, again: 0 });
+        state.apply(&Operation::Evacuate { zone: "z".into(), starts: begun, call_id: 0, retry_of: 0 });
         state.evacuated.contains_key("z")
     };
     assert!(step(&mut state, true) && step(&mut state, true));
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -6,8 +6,8 @@
 use limeway_quota::count::Count;
 use limeway_quota::escrow::Escrow;
 use limeway_quota::{Ask, Rule};
-use limeway_routing_config::document::Order;
-use limeway_routing_config::{Op, State};
+use limeway_routing_config::ConfigUpdate;
+use limeway_routing_config::{Operation, State};
 use limeway_service_registry::{Phase, ServerReport};
 use std::collections::BTreeSet;
 use std::hint::black_box;
@@ -213,13 +213,13 @@
         let text = if routes { configuration(first * times, 10) } else { configuration(10, first * times) };
         let before = resident();
         let mut state = State::default();
-        if let Ok(order) = Order::read(text.as_bytes(), true) {
+        if let Ok(order) = ConfigUpdate::parse(text.as_bytes(), true) {
             checked.push(quickest(|| drop(black_box(state.check(&order)))));
-            state.apply(&Op::from(order));
+            state.apply(&Operation::from(order));
         }
         bytes.push(pack(&state).len() as f64);
-        let plan = state.plan();
-        planned.push(quickest(|| drop(black_box(state.plan()))));
+        let plan = state.compile_snapshot();
+        planned.push(quickest(|| drop(black_box(state.compile_snapshot()))));
         held.push((resident() - before).max(0.0));
         black_box(plan.is_ok());
         forget((state, plan));
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -6,7 +6,7 @@
 use limeway_consensus::{Slot, Voter};
 use limeway_control_plane::{Ask, Told};
 use limeway_membership::SHARDS;
-use limeway_routing_config::document::Order;
+use limeway_routing_config::ConfigUpdate;
 use limeway_routing_config::State;
 use limeway_service_registry::Phase;
 use std::collections::BTreeMap;
@@ -34,8 +34,8 @@
     states: BTreeMap<Slot, State>,
     /// Acknowledged: when, the slot in which it is, and the version.
     acks: Vec<(Micros, Slot, u32)>,
-    done: Vec<Order>,
-    refused: Vec<Order>,
+    done: Vec<ConfigUpdate>,
+    refused: Vec<ConfigUpdate>,
     /// The groups that each machine's process held when it was last seen, and the slot that it had.
     held: BTreeMap<usize, (Vec<usize>, Slot)>,
     boards: BTreeMap<usize, (Slot, Micros)>,
@@ -78,7 +78,7 @@
 
     /// The seats of the newest state.
     pub fn seats(&self) -> &[Voter] {
-        self.states.values().next_back().map_or(&[], |s| &s.core)
+        self.states.values().next_back().map_or(&[], |s| &s.voters)
     }
 
     /// The last slot, and the highest version, of what was acknowledged before a moment.
@@ -91,7 +91,7 @@
     fn state(&mut self, whose: String, state: &State) {
         let mut state = state.clone();
         if self.off == Off::Former {
-            state.former.clear();
+            state.former_voters.clear();
         }
         let slot = state.slot;
         if slot == 0 {
@@ -102,7 +102,7 @@
             let (a, b) = (known.version, state.version);
             return self.fail(format!("slot {slot} has two values: {whose} has version {b}, not {a}"));
         }
-        let refused = self.refused.iter().find(|o| o.version == state.version && state.has_taken(o));
+        let refused = self.refused.iter().find(|o| o.version == state.version && state.has_applied(o));
         if let Some(order) = refused {
             let version = order.version;
             self.fail(format!("{whose} has version {version} in force, which was refused"));
@@ -158,7 +158,7 @@
         let (slot, newest) = (process.marker.state().slot, process.marker.state().version);
         match (flight.map(|f| (&f.wanted, f.sent)), told) {
             (Some((Wanted::Order(order), _)), Told::Done) => {
-                if !process.marker.state().has_taken(order) {
+                if !process.marker.state().has_applied(order) {
                     self.fail(format!("machine {at} acknowledges version {} that it has not", order.version));
                 }
                 self.tally[0] += 1;
@@ -167,7 +167,7 @@
             }
             (Some((Wanted::Order(order), _)), Told::Stale | Told::Invalid(_)) => {
                 self.tally[1] += 1;
-                if self.states.values().next_back().is_some_and(|s| s.has_taken(order)) {
+                if self.states.values().next_back().is_some_and(|s| s.has_applied(order)) {
                     self.fail(format!("machine {at} refuses version {} that is in force", order.version));
                 }
                 self.refused.push(order.clone());
@@ -292,10 +292,10 @@
     /// Everything is served again, and nothing that was acknowledged is lost.
     pub(crate) fn at_end(&mut self) -> Option<String> {
         let newest = self.judge.states.values().next_back().cloned().unwrap_or_default();
-        if let Some(lost) = self.judge.done.iter().find(|o| !newest.has_taken(o)) {
+        if let Some(lost) = self.judge.done.iter().find(|o| !newest.has_applied(o)) {
             return Some(format!("version {} was acknowledged and is lost", lost.version));
         }
-        if let Some(order) = self.judge.refused.iter().find(|o| newest.has_taken(o)) {
+        if let Some(order) = self.judge.refused.iter().find(|o| newest.has_applied(o)) {
             return Some(format!("version {} was refused and is in force", order.version));
         }
         if self.off != Off::Nothing {
@@ -316,7 +316,7 @@
             return Some(format!("nobody holds group {group} at the end"));
         }
         let seats = |s: &Voter| self.machines[s.node as usize - 1].disk.votes.disk == s.disk;
-        if let Some(seat) = newest.core.iter().find(|s| !seats(s)) {
+        if let Some(seat) = newest.voters.iter().find(|s| !seats(s)) {
             return Some(format!("at the end machine {} sits with a disk that is gone", seat.node - 1));
         }
         for (at, limiter) in self.people.limiters.iter().enumerate() {
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -8,7 +8,7 @@
 use limeway_distribution::{Board, Poll};
 use limeway_membership::{MemberHeartbeat, SHARDS};
 use limeway_quota::Request;
-use limeway_routing_config::document::Order;
+use limeway_routing_config::ConfigUpdate;
 use limeway_service_registry::{Phase, ServerReport};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub enum Wanted {
     /// A change.
-    Order(Order),
+    Order(ConfigUpdate),
     /// The newest configuration.
     Read,
     /// A zone evacuated, or that taken back.
@@ -231,7 +231,14 @@
                 let version = if fate == 4 { known } else { known + self.chance.between(1, 4) as u32 };
                 let (set, drop) = (Vec::new(), Vec::new());
                 let digest = u128::from(self.chance.draw());
-                Wanted::Order(Order { version, base: known, whole: false, set, drop, digest })
+                Wanted::Order(ConfigUpdate {
+                    version,
+                    base_version: known,
+                    replace: false,
+                    upserts: set,
+                    removals: drop,
+                    digest,
+                })
             }
         };
         self.people.last += 1;
@@ -306,7 +313,7 @@
         let (t, me) = (self.t, self.presence(at));
         let limiter = &mut self.people.limiters[at];
         limiter.failed.retain(|_, until| *until > t);
-        let known = limiter.board.state.core_nodes().into_iter().map(|n| n as usize - 1);
+        let known = limiter.board.state.voter_nodes().into_iter().map(|n| n as usize - 1);
         let mut order: Vec<usize> = known.collect();
         order.extend((0..self.machines.len()).filter(|m| self.machines[*m].exists));
         order.sort_by_key(|m| {
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -323,7 +323,7 @@
         machine.lives += 1;
         let mut state = machine.disk.state.clone();
         if off == Off::Former {
-            state.former.clear();
+            state.former_voters.clear();
         }
         let start = Start {
             me: node(at),
