--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -9,7 +9,6 @@
 use limeway_quota::Rule;
 use limeway_routing_config::State;
 use limeway_settings::Settings;
-use limeway_storage::{Record, Votes};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -130,10 +129,7 @@
                     }
                 }
                 Action::Write(job, record) => {
-                    let (votes, snapshot) = (record.votes, record.snapshot);
-                    let votes = Votes { life: votes.disk, applied: votes.applied, open: votes.slot_state };
-                    let ops = record.ops.into_iter().map(|(slot, op)| (slot, op.into_vec())).collect();
-                    let written = self.disk.write(Record { votes, ops, snapshot });
+                    let written = self.disk.write(record);
                     // More than the state machine has under way at once find room.
                     if let Err(e) = self.writes.0.try_send((job, Box::pin(written))) {
                         log::error!("writes under way: {e}");
--- a/crates/balancer/src/disk.rs
+++ b/crates/balancer/src/disk.rs
@@ -13,7 +13,7 @@
 
 use error_stack::Report;
 use limeway_consensus::{DiskIncarnation, NodeId};
-use limeway_storage::{Folder, Found, Record, Vault, VaultError};
+use limeway_storage::{Directory, LogRecord, Recovered, StateStore, StorageError};
 use std::cell::Cell;
 use std::future::Future;
 use std::path::PathBuf;
@@ -39,7 +39,7 @@
 type Answer = (bool, bool);
 
 struct Job {
-    row: Record,
+    row: LogRecord,
     bytes: usize,
     done: oneshot::Sender<Answer>,
 }
@@ -57,13 +57,13 @@
     pub due: Rc<Cell<bool>>,
 }
 
-fn size(record: &Record) -> usize {
-    let accepted = record.votes.open.accepted.as_ref().map_or(0, |(_, value)| value.len());
+fn size(record: &LogRecord) -> usize {
+    let accepted = record.acceptor.slot_state.accepted.as_ref().map_or(0, |(_, value)| value.len());
     let snapshot = record.snapshot.as_ref().map_or(0, |(_, state)| state.len());
-    accepted + snapshot + record.ops.iter().map(|(_, op)| op.len()).sum::<usize>()
+    accepted + snapshot + record.operations.iter().map(|(_, op)| op.len()).sum::<usize>()
 }
 
-fn serve(mut vault: Vault, queue: &Receiver<Job>, waiting: &AtomicUsize) {
+fn serve(mut vault: StateStore, queue: &Receiver<Job>, waiting: &AtomicUsize) {
     while let Ok(first) = queue.recv() {
         let jobs = std::iter::once(first).chain(queue.try_iter().take(QUEUE - 1));
         let (mut rows, mut told, mut bytes) = (Vec::new(), Vec::new(), 0);
@@ -75,7 +75,7 @@
         let answers = vault.write_all(&rows);
         drop(rows);
         waiting.fetch_sub(bytes, Ordering::Relaxed);
-        let due = vault.due();
+        let due = vault.snapshot_due();
         for (done, answer) in told.into_iter().zip(answers) {
             if let Err(e) = answer {
                 log::warn!("disk: {e}");
@@ -88,9 +88,9 @@
 
 impl Disk {
     /// Starts the thread, which owns the file.
-    pub fn start(vault: Vault) -> std::io::Result<Self> {
+    pub fn start(vault: StateStore) -> std::io::Result<Self> {
         let (jobs, queue) = sync_channel(QUEUE);
-        let (waiting, due) = (Arc::new(AtomicUsize::new(0)), vault.due());
+        let (waiting, due) = (Arc::new(AtomicUsize::new(0)), vault.snapshot_due());
         let held = waiting.clone();
         std::thread::Builder::new()
             .name("vault".into())
@@ -110,13 +110,13 @@
         folder: PathBuf,
         node: NodeId,
         fresh: DiskIncarnation,
-    ) -> Result<(Self, Found), Report<VaultError>> {
-        let open = move || Vault::open(Folder::new(&folder), node, fresh);
+    ) -> Result<(Self, Recovered), Report<StorageError>> {
+        let open = move || StateStore::open(Directory::new(&folder), node, fresh);
         let (tell, told) = oneshot::channel();
         let opening = move || {
             let begun = Instant::now();
             let mut opened = open();
-            while matches!(&opened, Err(e) if *e.current_context() == VaultError::Open)
+            while matches!(&opened, Err(e) if *e.current_context() == StorageError::Open)
                 && begun.elapsed() < OPEN_WAIT
             {
                 log::warn!("the disk refuses the state file");
@@ -126,9 +126,9 @@
             drop(tell.send(opened));
         };
         let thread = std::thread::Builder::new().name("opening".into()).stack_size(STACK).spawn(opening);
-        thread.map_err(|e| Report::new(e).change_context(VaultError::Open))?;
-        let (vault, found) = told.await.map_err(|_| Report::new(VaultError::Open))??;
-        let disk = Self::start(vault).map_err(|e| Report::new(e).change_context(VaultError::Open))?;
+        thread.map_err(|e| Report::new(e).change_context(StorageError::Open))?;
+        let (vault, found) = told.await.map_err(|_| Report::new(StorageError::Open))??;
+        let disk = Self::start(vault).map_err(|e| Report::new(e).change_context(StorageError::Open))?;
         Ok((disk, found))
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Queues a record, in the order of calls. Ready once it is on disk (true) or may not be (false); may be dropped.
-    pub fn write(&self, record: Record) -> impl Future<Output = bool> + 'static {
+    pub fn write(&self, record: LogRecord) -> impl Future<Output = bool> + 'static {
         let told = self.send(record);
         let (sound, due) = (self.sound.clone(), self.due.clone());
         async move {
@@ -158,7 +158,7 @@
         }
     }
 
-    fn send(&self, row: Record) -> Option<oneshot::Receiver<Answer>> {
+    fn send(&self, row: LogRecord) -> Option<oneshot::Receiver<Answer>> {
         let jobs = self.jobs.as_ref()?;
         if self.lost.get() && row.snapshot.is_none() {
             return None;
--- a/crates/balancer/src/service.rs
+++ b/crates/balancer/src/service.rs
@@ -16,7 +16,7 @@
 use limeway_http1::inbound::{Bounds, Inbound};
 use limeway_routing_config::{Operation, State};
 use limeway_settings::{Settings, VARIABLE};
-use limeway_storage::Found;
+use limeway_storage::Recovered;
 use std::cell::Cell;
 use std::fmt;
 use std::net::SocketAddr;
@@ -88,15 +88,15 @@
 }
 
 /// The state that a snapshot and the operations since make; nothing if they cannot be read.
-fn state(found: Found) -> Option<State> {
+fn state(found: Recovered) -> Option<State> {
     let mut state: State = match found.snapshot {
         Some((_, bytes)) => unpack(&bytes)?,
         None => State::default(),
     };
-    for (_, op) in found.ops.iter().filter(|(slot, _)| *slot <= found.votes.applied) {
+    for (_, op) in found.operations.iter().filter(|(slot, _)| *slot <= found.acceptor.applied) {
         state.apply(&unpack::<Operation>(&unseal(op)?)?);
     }
-    (state.slot == found.votes.applied).then_some(state)
+    (state.slot == found.acceptor.applied).then_some(state)
 }
 
 async fn serve_core(
@@ -112,9 +112,10 @@
             let (disk, found) = Disk::open(folder.clone(), NodeId::from(settings.ip), life)
                 .await
                 .change_context(StartError::Disk)?;
-            let votes = found.votes.clone();
-            let acceptor = Acceptor { disk: votes.life, applied: votes.applied, slot_state: votes.open };
-            let empty = found.empty;
+            let votes = found.acceptor.clone();
+            let acceptor =
+                Acceptor { disk: votes.disk, applied: votes.applied, slot_state: votes.slot_state };
+            let empty = found.is_new;
             (acceptor, state(found).ok_or(StartError::Disk)?, empty, disk)
         }
         None => (Acceptor::default(), State::default(), true, Disk::none()),
--- a/crates/balancer/tests/disk.rs
+++ b/crates/balancer/tests/disk.rs
@@ -1,7 +1,7 @@
 //! The writing thread before a disk that hangs or refuses: the caller goes on, and nothing counts that may be missing.
 
 use limeway_balancer::disk::Disk;
-use limeway_storage::{Folder, Medium, Name, Record, StorageBackend, Vault, Votes};
+use limeway_storage::{Acceptor, Directory, FileName, FileSystem, LogRecord, StateStore, StorageBackend};
 use std::future::Future;
 use std::io;
 use std::path::PathBuf;
@@ -40,30 +40,30 @@
     }
 }
 
-struct Gated(Folder, Gate);
+struct Gated(Directory, Gate);
 
 #[derive(Debug)]
 struct Handle(Box<dyn StorageBackend>, Gate);
 
-impl Medium for Gated {
-    fn exists(&self, name: Name) -> io::Result<bool> {
+impl FileSystem for Gated {
+    fn exists(&self, name: FileName) -> io::Result<bool> {
         self.0.exists(name)
     }
 
-    fn open(&self, name: Name) -> io::Result<Box<dyn StorageBackend>> {
+    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
         Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
     }
 
-    fn set_aside(&self, name: Name) -> io::Result<()> {
-        self.0.set_aside(name)
+    fn quarantine(&self, name: FileName) -> io::Result<()> {
+        self.0.quarantine(name)
     }
 
-    fn remove(&self, name: Name) -> io::Result<()> {
+    fn remove(&self, name: FileName) -> io::Result<()> {
         self.0.remove(name)
     }
 
-    fn settle(&self) -> io::Result<()> {
-        self.0.settle()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 }
 
@@ -94,15 +94,15 @@
     let folder = std::env::temp_dir().join(format!("limeway-disk-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let gate = Gate(Arc::new((Mutex::new(Mode::Goes), Condvar::new())));
-    let (vault, _) = Vault::open(Gated(Folder::new(&folder), gate.clone()), 7, 42).expect("made");
+    let (vault, _) = StateStore::open(Gated(Directory::new(&folder), gate.clone()), 7, 42).expect("made");
     (folder, gate, Disk::start(vault).expect("starts"))
 }
 
 /// The operation of a slot, with the state before it if `whole`.
-fn slot(slot: u64, whole: bool) -> Record {
-    let votes = Votes { life: 42, applied: slot, ..Votes::default() };
+fn slot(slot: u64, whole: bool) -> LogRecord {
+    let votes = Acceptor { disk: 42, applied: slot, ..Acceptor::default() };
     let snapshot = whole.then(|| (slot - 1, vec![slot as u8; 300]));
-    Record { votes, ops: vec![(slot, vec![slot as u8; 30])], snapshot }
+    LogRecord { acceptor: votes, operations: vec![(slot, vec![slot as u8; 30])], snapshot }
 }
 
 async fn soon(answer: impl Future<Output = bool>) -> bool {
@@ -115,14 +115,14 @@
     let begun = Instant::now();
     // The thread closes the file once it sees that nothing more will come.
     let (_, found) = loop {
-        match Vault::open(Folder::new(folder), 7, 43) {
+        match StateStore::open(Directory::new(folder), 7, 43) {
             Ok(opened) => break opened,
             Err(e) => assert!(begun.elapsed() < SOON, "{e:?}"),
         }
     };
     let _ = std::fs::remove_dir_all(folder);
-    assert_eq!(found.ops.last().map(|o| o.0), Some(found.votes.applied));
-    found.votes.applied
+    assert_eq!(found.operations.last().map(|o| o.0), Some(found.acceptor.applied));
+    found.acceptor.applied
 }
 
 #[tokio::test]
--- a/crates/control/consensus/src/acceptor.rs
+++ b/crates/control/consensus/src/acceptor.rs
@@ -43,15 +43,18 @@
     Abstained,
 }
 
-/// One replica's acceptor. It serves one slot at a time: the one after the last that was applied.
-#[derive(Debug, Clone, Default)]
+/// One replica's acceptor. It serves one slot at a time: the one after the last that was applied. Fields keep the names that
+/// state files have.
+#[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Acceptor {
+    /// The incarnation of its disk.
+    #[serde(rename = "life")]
+    pub disk: DiskIncarnation,
     /// Last slot whose value is applied here.
     pub applied: Slot,
     /// Promise and accepted value of the slot after that.
+    #[serde(rename = "open")]
     pub slot_state: SlotState,
-    /// The incarnation of its disk.
-    pub disk: DiskIncarnation,
 }
 
 impl Acceptor {
--- a/crates/control/consensus/src/lib.rs
+++ b/crates/control/consensus/src/lib.rs
@@ -18,9 +18,11 @@
 
 mod acceptor;
 mod proposer;
+mod record;
 mod voter;
 
 pub use acceptor::{Acceptor, AcceptorReply, SlotState};
 pub use limeway_types::{NodeId, ProcessIncarnation};
 pub use proposer::{Proposer, ProposerStep};
+pub use record::LogRecord;
 pub use voter::{DiskIncarnation, ProposalNumber, Slot, Voter};
--- /dev/null
+++ b/crates/control/consensus/src/record.rs
@@ -0,0 +1,15 @@
+//! What a replica writes to its disk.
+
+use crate::{Acceptor, Slot};
+
+/// What a replica persists at once: its acceptor, and what it has applied since the last record.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct LogRecord {
+    /// The acceptor; it replaces the last one.
+    pub acceptor: Acceptor,
+    /// Operations that are chosen, encoded, with their slots: the first follows the end of the log, each the one before it.
+    pub operations: Vec<(Slot, Vec<u8>)>,
+    /// The encoded state that the slots up to this one have made. It goes before `operations`, and replaces the last snapshot and
+    /// all operations up to its slot. It is never older than the last.
+    pub snapshot: Option<(Slot, Vec<u8>)>,
+}
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -159,21 +159,12 @@
     /// Answer [`Event::Ask`].
     Tell(Token, Told),
     /// Write to disk; [`Event::Written`] follows, in the order of the jobs.
-    Write(Job, Record),
+    Write(Job, LogRecord),
     /// The process may end.
     End,
 }
 
-/// What is written at once.
-#[derive(Debug, Clone)]
-pub struct Record {
-    /// The part in ballots.
-    pub votes: Acceptor,
-    /// Operations of slots that follow on those written before, or on `snapshot`; each sealed.
-    pub ops: Vec<(Slot, ByteBuf)>,
-    /// The state of a slot, in place of all that was written before; the operations follow on it.
-    pub snapshot: Option<(Slot, Vec<u8>)>,
-}
+pub use limeway_consensus::LogRecord;
 
 /// Another core machine as it shows itself.
 #[derive(Debug, Clone, Copy)]
--- a/crates/control/control-plane/src/paper.rs
+++ b/crates/control/control-plane/src/paper.rs
@@ -5,7 +5,7 @@
 //! says that its disk is not sound.
 
 use crate::messages::Reply;
-use crate::{Action, Job, Marker, Micros, Record, Token};
+use crate::{Action, Job, LogRecord, Marker, Micros, Token};
 use limeway_consensus::{AcceptorReply, Slot};
 use serde_bytes::ByteBuf;
 use std::collections::VecDeque;
@@ -125,7 +125,8 @@
         self.paper.last += 1;
         let job = self.paper.last;
         self.paper.waiting.push_back(Waiting { job, since: self.paper.now, slot: state.slot, after });
-        out.push(Action::Write(job, Record { votes: self.acceptor.clone(), ops, snapshot }));
+        let operations = ops.into_iter().map(|(slot, op)| (slot, op.into_vec())).collect();
+        out.push(Action::Write(job, LogRecord { acceptor: self.acceptor.clone(), operations, snapshot }));
     }
 
     /// A write is done, or failed, and so all before it.
--- a/crates/control/storage/examples/record_cost.rs
+++ b/crates/control/storage/examples/record_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p limeway-storage --example record_cost [FOLDER]`
 
-use limeway_storage::{Folder, Medium, Name, Record, Vault, Votes};
+use limeway_storage::{Acceptor, Directory, FileName, FileSystem, LogRecord, StateStore};
 use redb::{Database, StorageBackend, TableDefinition};
 use std::io;
 use std::path::PathBuf;
@@ -25,26 +25,26 @@
     most: Arc<AtomicU64>,
 }
 
-struct Counted(Folder, Count);
+struct Counted(Directory, Count);
 
 #[derive(Debug)]
 struct Handle(Box<dyn StorageBackend>, Count);
 
-impl Medium for Counted {
-    fn exists(&self, name: Name) -> io::Result<bool> {
+impl FileSystem for Counted {
+    fn exists(&self, name: FileName) -> io::Result<bool> {
         self.0.exists(name)
     }
-    fn open(&self, name: Name) -> io::Result<Box<dyn StorageBackend>> {
+    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
         Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
     }
-    fn set_aside(&self, name: Name) -> io::Result<()> {
-        self.0.set_aside(name)
+    fn quarantine(&self, name: FileName) -> io::Result<()> {
+        self.0.quarantine(name)
     }
-    fn remove(&self, name: Name) -> io::Result<()> {
+    fn remove(&self, name: FileName) -> io::Result<()> {
         self.0.remove(name)
     }
-    fn settle(&self) -> io::Result<()> {
-        self.0.settle()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 }
 
@@ -74,7 +74,7 @@
 fn folder(name: &str) -> (PathBuf, Counted) {
     let above = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
     let path = above.join(format!("limeway-record-cost-{}-{name}", std::process::id()));
-    let counted = Counted(Folder::new(&path), Count::default());
+    let counted = Counted(Directory::new(&path), Count::default());
     (path, counted)
 }
 
@@ -93,7 +93,8 @@
 fn whole(size: usize) -> Result<(), Failed> {
     let (path, medium) = folder("whole");
     let mut builder = Database::builder();
-    let db = builder.set_cache_size(256 * 1024).create_with_backend(Boxed(medium.open(Name::First)?))?;
+    let db =
+        builder.set_cache_size(256 * 1024).create_with_backend(Boxed(medium.open(FileName::Primary)?))?;
     let begun = Instant::now();
     for slot in 0..SLOTS_WHOLE {
         let write = db.begin_write()?;
@@ -134,15 +135,16 @@
 fn records(size: usize) -> Result<(), Failed> {
     let (path, medium) = folder("records");
     let count = medium.1.clone();
-    let (mut vault, _) = Vault::open(medium, 1, 1).map_err(|e| format!("{e:?}"))?;
-    let first = Record { snapshot: Some((0, vec![0; size])), ..Record::default() };
+    let (mut vault, _) = StateStore::open(medium, 1, 1).map_err(|e| format!("{e:?}"))?;
+    let first = LogRecord { snapshot: Some((0, vec![0; size])), ..LogRecord::default() };
     vault.write(&first)?;
     let begun = Instant::now();
     for slot in 1..=SLOTS {
-        let votes = Votes { applied: slot, ..Votes::default() };
-        let mut record = Record { votes, ops: vec![(slot, vec![slot as u8; OP])], snapshot: None };
-        if vault.due() {
-            record.ops.clear();
+        let votes = Acceptor { applied: slot, ..Acceptor::default() };
+        let mut record =
+            LogRecord { acceptor: votes, operations: vec![(slot, vec![slot as u8; OP])], snapshot: None };
+        if vault.snapshot_due() {
+            record.operations.clear();
             record.snapshot = Some((slot, vec![slot as u8; size]));
         }
         vault.write(&record)?;
@@ -150,7 +152,7 @@
     tell("records", size, SLOTS, begun, &count);
     drop(vault);
     let begun = Instant::now();
-    drop(Vault::open(Folder::new(&path), 1, 1).map_err(|e| format!("{e:?}"))?);
+    drop(StateStore::open(Directory::new(&path), 1, 1).map_err(|e| format!("{e:?}"))?);
     println!("         opened again in {:.1} ms", begun.elapsed().as_secs_f64() * 1e3);
     Ok(std::fs::remove_dir_all(path)?)
 }
--- a/crates/control/storage/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What is on disk comes back; what is torn or foreign is set aside and never taken for an empty disk's fresh start.
 
-use limeway_consensus::{Acceptor, ProposalNumber};
-use limeway_storage::{Folder as Disk, Found, Record, Vault, Votes};
+use limeway_consensus::ProposalNumber;
+use limeway_storage::{Acceptor, Directory as Disk, LogRecord, Recovered, StateStore};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::path::PathBuf;
@@ -23,11 +23,11 @@
     }
 }
 
-fn open(folder: &Folder, node: u32, fresh: u64) -> (Vault, Found) {
-    Vault::open(Disk::new(&folder.0), node, fresh).expect("opened")
+fn open(folder: &Folder, node: u32, fresh: u64) -> (StateStore, Recovered) {
+    StateStore::open(Disk::new(&folder.0), node, fresh).expect("opened")
 }
 
-fn voted(vault: &mut Vault, life: u64) -> Votes {
+fn voted(vault: &mut StateStore, life: u64) -> Acceptor {
     let mut acceptor = Acceptor { disk: life, ..Acceptor::default() };
     acceptor.advance(4);
     acceptor.accept(
@@ -35,8 +35,9 @@
         ProposalNumber { round: 3, proposer: 1, incarnation: 1 },
         ByteBuf::from(vec![1, 2, 3]),
     );
-    let votes = Votes { life, applied: acceptor.applied, open: acceptor.slot_state };
-    let record = Record { votes: votes.clone(), ops: Vec::new(), snapshot: Some((4, vec![9; 100])) };
+    let votes = Acceptor { disk: life, applied: acceptor.applied, slot_state: acceptor.slot_state };
+    let record =
+        LogRecord { acceptor: votes.clone(), operations: Vec::new(), snapshot: Some((4, vec![9; 100])) };
     vault.write(&record).expect("kept");
     votes
 }
@@ -45,13 +46,13 @@
 fn votes_and_state_outlive_the_process() {
     let folder = Folder::new("outlive");
     let (mut vault, found) = open(&folder, 7, 42);
-    assert!(found.empty && found.votes.life == 42);
+    assert!(found.is_new && found.acceptor.disk == 42);
     let kept = voted(&mut vault, 42);
     drop(vault);
     let (_vault, found) = open(&folder, 7, 43);
-    assert!(!found.empty);
-    assert_eq!((found.votes.life, found.votes.applied), (42, 4));
-    assert_eq!((found.votes.open, found.snapshot), (kept.open, Some((4, vec![9; 100]))));
+    assert!(!found.is_new);
+    assert_eq!((found.acceptor.disk, found.acceptor.applied), (42, 4));
+    assert_eq!((found.acceptor.slot_state, found.snapshot), (kept.slot_state, Some((4, vec![9; 100]))));
 }
 
 /// A machine that was killed before it had voted is empty still.
@@ -60,7 +61,7 @@
     let folder = Folder::new("unvoted");
     drop(open(&folder, 7, 42));
     let (_vault, found) = open(&folder, 7, 43);
-    assert!(found.empty && found.votes.life == 42, "the same life goes on");
+    assert!(found.is_new && found.acceptor.disk == 42, "the same life goes on");
 }
 
 #[rstest]
@@ -74,8 +75,8 @@
     drop(vault);
     spoil(&folder.0.join("state.redb"));
     let (_vault, found) = open(&folder, 7, 43);
-    assert!(found.empty && found.votes.applied == 0, "it holds nothing");
-    assert_eq!(found.votes.life, 43, "a new life, which holds no seat");
+    assert!(found.is_new && found.acceptor.applied == 0, "it holds nothing");
+    assert_eq!(found.acceptor.disk, 43, "a new life, which holds no seat");
     assert!(folder.0.join("state.redb.aside").exists(), "kept for whoever looks into it");
 }
 
@@ -86,5 +87,5 @@
     voted(&mut vault, 42);
     drop(vault);
     let (_vault, found) = open(&folder, 8, 43);
-    assert!(found.empty && found.votes.applied == 0);
+    assert!(found.is_new && found.acceptor.applied == 0);
 }
--- a/crates/control/storage/tests/kept.rs
+++ b/crates/control/storage/tests/kept.rs
@@ -1,7 +1,7 @@
 //! A state file as landing 14 wrote it, `data/state.redb`, is read with all that it holds.
 
 use limeway_consensus::{ProposalNumber, SlotState};
-use limeway_storage::{Folder, Found, Vault, Votes};
+use limeway_storage::{Acceptor, Directory, Recovered, StateStore};
 use rstest::rstest;
 use serde_bytes::ByteBuf;
 use std::path::PathBuf;
@@ -28,19 +28,24 @@
     }
 }
 
-fn expected() -> Found {
+fn expected() -> Recovered {
     let accepted =
         Some((ProposalNumber { round: 3, proposer: 1, incarnation: 5 }, ByteBuf::from(vec![1, 2, 3])));
     let promised = ProposalNumber { round: 4, proposer: 2, incarnation: 6 };
-    let votes = Votes { life: DISK, applied: 6, open: SlotState { promised, accepted } };
+    let votes = Acceptor { disk: DISK, applied: 6, slot_state: SlotState { promised, accepted } };
     let state = (0..100_000_u32).map(|at| at as u8).collect();
-    Found { votes, snapshot: Some((4, state)), ops: vec![(5, vec![50; 70_000]), (6, vec![60])], empty: false }
+    Recovered {
+        acceptor: votes,
+        snapshot: Some((4, state)),
+        operations: vec![(5, vec![50; 70_000]), (6, vec![60])],
+        is_new: false,
+    }
 }
 
 #[rstest]
 fn a_file_of_landing_14_is_read() {
     let folder = Own::with("whole", FILE);
-    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE, 99).expect("opened");
+    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
     assert_eq!(found, expected());
 }
 
@@ -48,14 +53,14 @@
 #[rstest]
 fn a_torn_file_of_landing_14_is_set_aside() {
     let folder = Own::with("torn", &FILE[..FILE.len() / 2]);
-    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE, 99).expect("opened");
-    assert!(found.empty && found.votes.life == 99);
+    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
+    assert!(found.is_new && found.acceptor.disk == 99);
     assert!(folder.0.join("state.redb.aside").exists());
 }
 
 #[rstest]
 fn another_machines_file_is_set_aside() {
     let folder = Own::with("foreign", FILE);
-    let (_vault, found) = Vault::open(Folder::new(&folder.0), NODE + 1, 99).expect("opened");
-    assert!(found.empty && found.votes.life == 99);
+    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE + 1, 99).expect("opened");
+    assert!(found.is_new && found.acceptor.disk == 99);
 }
--- a/crates/control/storage/tests/log/faults.rs
+++ b/crates/control/storage/tests/log/faults.rs
@@ -3,21 +3,23 @@
 
 use crate::script::{Picture, NODE};
 use crate::sim::{Loss, Sim, Trouble};
-use limeway_storage::{Vault, VaultError};
+use limeway_storage::{StateStore, StorageError};
 use rstest::rstest;
 
 /// Runs the script; the pictures that may be on disk.
 fn run(sim: &Sim) -> Vec<Picture> {
-    let Ok((mut vault, found)) = Vault::open(sim.clone(), NODE, 42) else { return vec![Picture::default()] };
-    crate::script::run(&mut vault, found.votes.life, |_| {}, || sim.ended())
+    let Ok((mut vault, found)) = StateStore::open(sim.clone(), NODE, 42) else {
+        return vec![Picture::default()];
+    };
+    crate::script::run(&mut vault, found.acceptor.disk, |_| {}, || sim.ended())
 }
 
 fn check(sim: &Sim, loss: Loss, may: &[Picture], what: &str) {
     let next = sim.after(loss, Trouble::None);
-    let (_vault, found) = Vault::open(next, NODE, 43).unwrap_or_else(|e| panic!("{what}: {e:?}"));
+    let (_vault, found) = StateStore::open(next, NODE, 43).unwrap_or_else(|e| panic!("{what}: {e:?}"));
     assert!(may.iter().any(|p| p.fits(&found)), "{what}: may be {may:?}, found {found:?}");
     let voted = may.iter().all(|p| p.end > 0);
-    assert!(!(voted && found.empty), "{what}: taken for an empty disk");
+    assert!(!(voted && found.is_new), "{what}: taken for an empty disk");
 }
 
 /// Steps of an undisturbed run.
@@ -75,18 +77,18 @@
     let sim = Sim::new(Trouble::End(steps() * 2 / 3));
     let may = run(&sim);
     let whole = sim.after(Loss::Killed, Trouble::None);
-    drop(Vault::open(whole.clone(), NODE, 43));
+    drop(StateStore::open(whole.clone(), NODE, 43));
     for at in 0..whole.steps() {
         for to in [at + 1, usize::MAX] {
             let next = sim.after(Loss::Killed, Trouble::Refuse(at, to));
-            if let Err(e) = Vault::open(next.clone(), NODE, 43) {
-                assert_eq!(*e.current_context(), VaultError::Open);
+            if let Err(e) = StateStore::open(next.clone(), NODE, 43) {
+                assert_eq!(*e.current_context(), StorageError::Open);
             }
             assert!(!next.aside(), "set aside, refused at {at}");
             check(&next, Loss::Killed, &may, &format!("refused from {at} to {to}"));
         }
         let next = sim.after(Loss::Some(at as u64), Trouble::End(at));
-        drop(Vault::open(next.clone(), NODE, 43));
+        drop(StateStore::open(next.clone(), NODE, 43));
         check(&next, Loss::Some(at as u64), &may, &format!("ended at {at}"));
     }
 }
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -1,7 +1,7 @@
 //! A real process on a real folder is killed (SIGKILL) between any two of its writes.
 
 use crate::script::{self, Picture, NODE};
-use limeway_storage::{Folder, Medium, Name, Vault};
+use limeway_storage::{Directory, FileName, FileSystem, StateStore};
 use redb::StorageBackend;
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -30,34 +30,34 @@
     }
 }
 
-struct Fused(Folder, Fuse);
+struct Fused(Directory, Fuse);
 
 #[derive(Debug)]
 struct Handle(Box<dyn StorageBackend>, Fuse);
 
-impl Medium for Fused {
-    fn exists(&self, name: Name) -> io::Result<bool> {
+impl FileSystem for Fused {
+    fn exists(&self, name: FileName) -> io::Result<bool> {
         self.0.exists(name)
     }
 
-    fn open(&self, name: Name) -> io::Result<Box<dyn StorageBackend>> {
+    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
         self.1.step();
         Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
     }
 
-    fn set_aside(&self, name: Name) -> io::Result<()> {
+    fn quarantine(&self, name: FileName) -> io::Result<()> {
         self.1.step();
-        self.0.set_aside(name)
+        self.0.quarantine(name)
     }
 
-    fn remove(&self, name: Name) -> io::Result<()> {
+    fn remove(&self, name: FileName) -> io::Result<()> {
         self.1.step();
         self.0.remove(name)
     }
 
-    fn settle(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.1.step();
-        self.0.settle()
+        self.0.sync_directory()
     }
 }
 
@@ -91,10 +91,10 @@
 fn child() {
     let (Ok(folder), Ok(step)) = (std::env::var(FOLDER), std::env::var(STEP)) else { return };
     let fuse = Fuse(Arc::new(AtomicUsize::new(step.parse().expect("a number"))));
-    let medium = Fused(Folder::new(&PathBuf::from(folder)), fuse);
-    let (mut vault, found) = Vault::open(medium, NODE, 42).expect("made");
+    let medium = Fused(Directory::new(&PathBuf::from(folder)), fuse);
+    let (mut vault, found) = StateStore::open(medium, NODE, 42).expect("made");
     println!();
-    script::run(&mut vault, found.votes.life, |group| println!("told {group}"), || false);
+    script::run(&mut vault, found.acceptor.disk, |group| println!("told {group}"), || false);
 }
 
 /// Runs the child to its step; the last group that it told as written, and whether it got there.
@@ -135,7 +135,7 @@
         let _ = std::fs::remove_dir_all(&folder);
         let (told, here) = killed_at(&folder, step);
         let done = told.map_or(0, |group| group + 1);
-        let (vault, found) = Vault::open(Folder::new(&folder), NODE, 42).expect("opened");
+        let (vault, found) = StateStore::open(Directory::new(&folder), NODE, 42).expect("opened");
         let may = &after[done..after.len().min(done + 2)];
         assert!(may.iter().any(|p| p.fits(&found)), "killed at {step}: {done} told, found {found:?}");
         drop(vault);
--- a/crates/control/storage/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -1,7 +1,7 @@
 //! A run of records as a machine would write them, and the picture that they make.
 
 use limeway_consensus::{ProposalNumber, Slot, SlotState};
-use limeway_storage::{Found, Record, Vault, Votes};
+use limeway_storage::{Acceptor, LogRecord, Recovered, StateStore};
 use serde_bytes::ByteBuf;
 
 /// Whose file it is.
@@ -57,16 +57,16 @@
     }
 
     /// Takes a step, and makes its record; `whole` brings all that the machine holds.
-    pub fn record(&mut self, step: &Step, whole: bool) -> Record {
+    pub fn record(&mut self, step: &Step, whole: bool) -> LogRecord {
         let before = self.end;
         self.take(step);
-        let votes = Votes { life: self.life, applied: self.end, open: self.open() };
-        let mut record = Record { votes, ..Record::default() };
+        let votes = Acceptor { disk: self.life, applied: self.end, slot_state: self.open() };
+        let mut record = LogRecord { acceptor: votes, ..LogRecord::default() };
         match step {
             _ if whole => record.snapshot = Some((self.end, state(self.end, 3_000))),
             Step::Choose(sizes) => {
                 let ops = (before + 1..).zip(sizes.iter());
-                record.ops = ops.map(|(slot, size)| (slot, op(slot, *size))).collect();
+                record.operations = ops.map(|(slot, size)| (slot, op(slot, *size))).collect();
             }
             Step::Snapshot(size) => record.snapshot = Some((self.end, state(self.end, *size))),
             Step::Jump(_) => record.snapshot = Some((self.end, state(self.end, 5_000))),
@@ -76,7 +76,7 @@
     }
 
     /// Whether what was found makes this picture.
-    pub fn fits(&self, found: &Found) -> bool {
+    pub fn fits(&self, found: &Recovered) -> bool {
         let mut end = 0;
         if let Some((slot, bytes)) = &found.snapshot {
             end = *slot;
@@ -84,14 +84,14 @@
                 return false;
             }
         }
-        for (slot, bytes) in &found.ops {
+        for (slot, bytes) in &found.operations {
             if *slot != end + 1 || *bytes != op(*slot, bytes.len()) {
                 return false;
             }
             end = *slot;
         }
-        let votes = Votes { life: found.votes.life, applied: self.end, open: self.open() };
-        end == self.end && found.votes == votes && (self.life == 0 || votes.life == self.life)
+        let votes = Acceptor { disk: found.acceptor.disk, applied: self.end, slot_state: self.open() };
+        end == self.end && found.acceptor == votes && (self.life == 0 || votes.disk == self.life)
     }
 }
 
@@ -118,7 +118,7 @@
 /// Runs the script as a machine does, until its end or until `ended`. Returns the pictures that may be on disk: the last that was
 /// acknowledged, and those since.
 pub fn run(
-    vault: &mut Vault,
+    vault: &mut StateStore,
     life: u64,
     mut told: impl FnMut(usize),
     ended: impl Fn() -> bool,
@@ -126,7 +126,7 @@
     let mut memory = Picture { life, ..Picture::default() };
     let mut may = vec![memory.clone()];
     for (at, group) in groups().iter().enumerate() {
-        let whole = vault.unsure();
+        let whole = vault.needs_snapshot();
         let records: Vec<_> =
             group.iter().enumerate().map(|(n, step)| memory.record(step, whole && n == 0)).collect();
         let answers = vault.write_all(&records);
--- a/crates/control/storage/tests/log/sim.rs
+++ b/crates/control/storage/tests/log/sim.rs
@@ -1,7 +1,7 @@
 //! Files and names in memory, with a step counted for each change: ended at any step, and brought back as a kill or a loss of
 //! power may leave them.
 
-use limeway_storage::{Medium, Name};
+use limeway_storage::{FileName, FileSystem};
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io;
@@ -62,9 +62,9 @@
 #[derive(Debug)]
 struct Inner {
     files: Vec<Content>,
-    names: BTreeMap<Name, usize>,
-    synced: BTreeMap<Name, usize>,
-    open: Vec<(Name, Option<usize>)>,
+    names: BTreeMap<FileName, usize>,
+    synced: BTreeMap<FileName, usize>,
+    open: Vec<(FileName, Option<usize>)>,
     steps: usize,
     ended: bool,
     trouble: Trouble,
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    fn name(&mut self, name: Name, to: Option<usize>) {
+    fn name(&mut self, name: FileName, to: Option<usize>) {
         match to {
             Some(id) => self.names.insert(name, id),
             None => self.names.remove(&name),
@@ -141,14 +141,14 @@
     pub fn file(&self) -> impl StorageBackend {
         let mut inner = self.inner();
         inner.files.push(Content::default());
-        inner.names.insert(Name::First, 0);
-        inner.synced.insert(Name::First, 0);
+        inner.names.insert(FileName::Primary, 0);
+        inner.synced.insert(FileName::Primary, 0);
         Handle(self.clone(), 0)
     }
 
     /// Whether a spoilt file was kept.
     pub fn aside(&self) -> bool {
-        self.inner().names.contains_key(&Name::Aside)
+        self.inner().names.contains_key(&FileName::Quarantined)
     }
 
     /// Whether the process has ended.
@@ -203,13 +203,13 @@
     }
 }
 
-impl Medium for Sim {
-    fn exists(&self, name: Name) -> io::Result<bool> {
+impl FileSystem for Sim {
+    fn exists(&self, name: FileName) -> io::Result<bool> {
         let inner = self.inner();
         Ok(inner.names.get(&name).is_some_and(|id| !inner.files[*id].live.is_empty()))
     }
 
-    fn open(&self, name: Name) -> io::Result<Box<dyn StorageBackend>> {
+    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
         let mut inner = self.inner();
         let id = match inner.names.get(&name) {
             Some(id) => *id,
@@ -225,16 +225,16 @@
         Ok(Box::new(Handle(self.clone(), id)))
     }
 
-    fn set_aside(&self, name: Name) -> io::Result<()> {
+    fn quarantine(&self, name: FileName) -> io::Result<()> {
         let mut inner = self.inner();
         inner.step()?;
         let id = inner.names.get(&name).copied();
         inner.name(name, None);
-        inner.name(Name::Aside, id);
+        inner.name(FileName::Quarantined, id);
         Ok(())
     }
 
-    fn remove(&self, name: Name) -> io::Result<()> {
+    fn remove(&self, name: FileName) -> io::Result<()> {
         let mut inner = self.inner();
         if inner.names.contains_key(&name) {
             inner.step()?;
@@ -243,7 +243,7 @@
         Ok(())
     }
 
-    fn settle(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut inner = self.inner();
         inner.step()?;
         inner.synced = inner.names.clone();
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -3,7 +3,7 @@
 use crate::chance::Chance;
 use crate::Micros;
 use limeway_consensus::Acceptor;
-use limeway_control_plane::{Job, Record};
+use limeway_control_plane::{Job, LogRecord};
 use limeway_routing_config::State;
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
     pub votes: Acceptor,
     /// The state.
     pub state: State,
-    queue: VecDeque<(Job, Record)>,
+    queue: VecDeque<(Job, LogRecord)>,
     failed: bool,
     /// It refuses writes.
     pub full: bool,
@@ -39,7 +39,7 @@
     }
 
     /// Takes a record in. True if none was under way: its end is to be waited for.
-    pub fn push(&mut self, job: Job, record: Record) -> bool {
+    pub fn push(&mut self, job: Job, record: LogRecord) -> bool {
         self.queue.push_back((job, record));
         self.queue.len() == 1
     }
@@ -60,18 +60,18 @@
         self.queue.len()
     }
 
-    fn apply(&mut self, record: Record) -> Result<(), String> {
-        if record.votes.disk != self.votes.disk {
+    fn apply(&mut self, record: LogRecord) -> Result<(), String> {
+        if record.acceptor.disk != self.votes.disk {
             return Err(format!(
                 "a record of life {} on a disk of life {}",
-                record.votes.disk, self.votes.disk
+                record.acceptor.disk, self.votes.disk
             ));
         }
         if let Some((slot, bytes)) = record.snapshot {
             let state: Option<State> = limeway_distribution::unpack(&bytes);
             self.state = state.filter(|s| s.slot == slot).ok_or("a snapshot that cannot be read")?;
         }
-        for (slot, op) in record.ops {
+        for (slot, op) in record.operations {
             if slot != self.state.slot + 1 {
                 return Err(format!("operation {slot} written on a state of slot {}", self.state.slot));
             }
@@ -79,11 +79,11 @@
                 limeway_distribution::parcel::unseal(&op).and_then(|op| limeway_distribution::unpack(&op));
             self.state.apply(&op.ok_or("an operation that cannot be read")?);
         }
-        if record.votes.applied != self.state.slot {
-            let (votes, state) = (record.votes.applied, self.state.slot);
+        if record.acceptor.applied != self.state.slot {
+            let (votes, state) = (record.acceptor.applied, self.state.slot);
             return Err(format!("votes of slot {votes} beside a state of slot {state}"));
         }
-        self.votes = record.votes;
+        self.votes = record.acceptor;
         Ok(())
     }
 
