--- a/crates/balancer/src/edge.rs
+++ b/crates/balancer/src/edge.rs
@@ -7,9 +7,9 @@
 use crate::link::{self, Links};
 use crate::messages::{Call, Reply};
 use crate::outbound::Pools;
-use limeway_distribution::follow::{Follower, Next};
-use limeway_distribution::parcel::Want;
-use limeway_distribution::{Board, Changed};
+use limeway_distribution::follower::{Follower, FollowerAction};
+use limeway_distribution::transfer::StateRequest;
+use limeway_distribution::{ChangeSet, StateCache};
 use limeway_load_balancing::{cold_share, Candidate, Near, Selector, Tries};
 use limeway_membership::{rendezvous_weight, MemberHeartbeat, NodeId};
 use limeway_quota::desk::{Desk, Ticket};
@@ -72,7 +72,7 @@
     /// Its settings.
     pub settings: Settings,
     me: NodeId,
-    board: RefCell<Board>,
+    board: RefCell<StateCache>,
     plan: RefCell<Rc<RoutingSnapshot>>,
     table: RefCell<Rc<Table>>,
     /// Which server a request goes to.
@@ -110,7 +110,7 @@
         let b = &settings.bounds;
         Rc::new(Edge {
             me: NodeId::from(settings.ip),
-            board: RefCell::new(Board::relay(clock::draw() | 1)),
+            board: RefCell::new(StateCache::relay(clock::draw() | 1)),
             plan: RefCell::default(),
             table: RefCell::default(),
             selector: RefCell::default(),
@@ -152,12 +152,12 @@
         let board = self.board.borrow();
         let bounds = &self.settings.bounds;
         let lasts = if bounds.strict { bounds.revoke.saturating_sub(REVOKE_MARGIN) } else { 60_000_000 };
-        board.sure > 0 && now() < board.sure + lasts
+        board.confirmed_at > 0 && now() < board.confirmed_at + lasts
     }
 
     /// As of when it is sure of the configuration.
     pub fn sure_since(&self) -> Micros {
-        self.board.borrow().sure
+        self.board.borrow().confirmed_at
     }
 
     /// Whether it can serve.
@@ -174,7 +174,7 @@
     pub fn known(&self) -> (usize, usize) {
         let board = self.board.borrow();
         let live = board
-            .watch
+            .registry
             .servers()
             .values()
             .filter(|s| s.phase == Phase::Ready && !s.unresponsive && !s.unlisted)
@@ -205,11 +205,13 @@
     pub async fn follow(self: Rc<Self>) {
         loop {
             let t = now();
-            let next = self.follower.borrow_mut().next(t, &self.board.borrow());
+            let next = self.follower.borrow_mut().next_action(t, &self.board.borrow());
             match next {
-                Next::Wait(until) => sleep(Duration::from_micros(until.saturating_sub(t).max(1_000))).await,
-                Next::Poll(above) => self.poll(above).await,
-                Next::Fetch(from, want) => self.fetch(from, want).await,
+                FollowerAction::Wait(until) => {
+                    sleep(Duration::from_micros(until.saturating_sub(t).max(1_000))).await
+                }
+                FollowerAction::Poll(above) => self.poll(above).await,
+                FollowerAction::Fetch(from, want) => self.fetch(from, want).await,
             }
         }
     }
@@ -218,7 +220,7 @@
         let asked = now();
         let wait = if self.leaving.get() || !self.ready() { HOLD / 4 } else { HOLD };
         let poll = self.follower.borrow_mut().poll(asked, &self.board.borrow(), self.presence(), wait);
-        let (want, link) = (poll.want, self.links.to(above));
+        let (want, link) = (poll.request, self.links.to(above));
         let call = Call::Poll(Box::new(poll));
         let answer = tokio::select! {
             answer = link.call_patient(&call, Duration::from_micros(HOLD) + ANSWER, FEED_MOST) => answer,
@@ -227,17 +229,19 @@
         };
         match answer {
             Ok(Reply::Feed(feed)) => {
-                self.take(|t, follower, board| follower.fed(t, asked, &want, above, *feed, board));
+                self.take(|t, follower, board| {
+                    follower.handle_response(t, asked, &want, above, *feed, board)
+                });
             }
             other => self.failed(above, other.err()),
         }
     }
 
-    async fn fetch(&self, from: NodeId, want: Want) {
+    async fn fetch(&self, from: NodeId, want: StateRequest) {
         let link = self.links.to(from);
         match link.call_patient(&Call::Fetch(want), Duration::from_micros(HOLD) + ANSWER, FEED_MOST).await {
             Ok(Reply::Steps(steps)) => {
-                self.take(|t, follower, board| follower.fetched(t, &want, steps, board));
+                self.take(|t, follower, board| follower.handle_fetched(t, &want, steps, board));
             }
             other => self.failed(from, other.err()),
         }
@@ -245,11 +249,11 @@
 
     fn failed(&self, node: NodeId, error: Option<link::LinkError>) {
         log::info!(node, error = format!("{error:?}").as_str(); "no news from above");
-        self.follower.borrow_mut().failed(now(), node);
+        self.follower.borrow_mut().handle_failure(now(), node);
     }
 
     /// Takes in what came, and makes plan and table anew once for all of it.
-    fn take(&self, told: impl FnOnce(Micros, &mut Follower, &mut Board) -> Changed) {
+    fn take(&self, told: impl FnOnce(Micros, &mut Follower, &mut StateCache) -> ChangeSet) {
         let t = now();
         let before = self.board.borrow().state.evacuated.clone();
         let changed = told(t, &mut self.follower.borrow_mut(), &mut self.board.borrow_mut());
@@ -267,7 +271,7 @@
                 self.returned.borrow_mut().insert(zone.clone(), t);
             }
         }
-        if changed != Changed::default() {
+        if changed != ChangeSet::default() {
             self.rebuild();
         }
         self.news.notify_waiters();
@@ -280,7 +284,7 @@
         let mut table = Table::new();
         let mut returned = self.returned.borrow_mut();
         let mut regions: HashMap<&str, Rc<str>> = HashMap::new();
-        for (id, server) in board.watch.servers() {
+        for (id, server) in board.registry.servers() {
             if server.phase != Phase::Ready || board.state.evacuated.contains_key(&server.zone) {
                 continue;
             }
@@ -326,7 +330,7 @@
         }
         returned.retain(|_, since| t < *since + 20_000_000);
         drop(returned);
-        self.pools.keep(|id| board.watch.servers().get(id).is_some_and(|s| s.phase == Phase::Ready));
+        self.pools.keep(|id| board.registry.servers().get(id).is_some_and(|s| s.phase == Phase::Ready));
         *self.table.borrow_mut() = Rc::new(table);
     }
 
@@ -337,7 +341,7 @@
         let key = limeway_membership::hash(id.as_bytes());
         let zones = &self.settings.zones;
         let of = |near: &dyn Fn(&str) -> bool| -> Vec<NodeId> {
-            board.members().iter().filter(|(_, z)| near(z)).map(|(n, _)| *n).collect()
+            board.members().iter().filter(|m| near(&m.zone)).map(|m| m.node).collect()
         };
         let mut sharers = of(&|z| z == zone);
         if sharers.is_empty() {
@@ -386,7 +390,7 @@
         let port = self.settings.frontend.map_or(0, |f| f.port());
         // All machines have the same ports.
         let fronts =
-            board.members().iter().map(|(n, zone)| (zone.as_str(), SocketAddrV4::new((*n).into(), port)));
+            board.members().iter().map(|m| (m.zone.as_str(), SocketAddrV4::new(m.node.into(), port)));
         crate::directory::resolve(&self.settings, fronts, rest)
     }
 
@@ -396,7 +400,7 @@
             sleep(Duration::from_secs(1)).await;
             self.pools.prune();
             self.selector.borrow_mut().sweep(now());
-            self.board.borrow_mut().watch.expire(now(), Micros::MAX);
+            self.board.borrow_mut().registry.expire(now(), Micros::MAX);
         }
     }
 
@@ -405,23 +409,23 @@
         let poll = match call {
             Call::Poll(poll) => *poll,
             Call::Unit(tenant) => return self.lend(&tenant),
-            Call::Fetch(want) => return Reply::Steps(self.board.borrow().steps(&want)),
+            Call::Fetch(want) => return Reply::Steps(self.board.borrow().state_update(&want)),
             _ => return Reply::Not,
         };
         let t = now();
-        if self.follower.borrow_mut().hear_below(t, &poll) {
+        if self.follower.borrow_mut().observe_downstream(t, &poll) {
             // Who comes or leaves is told at once.
             self.hurry.notify_one();
         }
         loop {
             let notified = self.news.notified();
-            let left = self.board.borrow().hold_until(t, &poll, HOLD_MOST).saturating_sub(now());
-            if left == 0 || self.board.borrow().has_news(&poll) {
+            let left = self.board.borrow().long_poll_deadline(t, &poll, HOLD_MOST).saturating_sub(now());
+            if left == 0 || self.board.borrow().has_update(&poll) {
                 break;
             }
             let _ = timeout(Duration::from_micros(left), notified).await;
         }
         let end = now();
-        Reply::Feed(Box::new(self.board.borrow().feed(end, &poll, end - t)))
+        Reply::Feed(Box::new(self.board.borrow().respond(end, &poll, end - t)))
     }
 }
--- a/crates/balancer/src/edge/quotas.rs
+++ b/crates/balancer/src/edge/quotas.rs
@@ -90,7 +90,7 @@
     pub(super) fn neighbours(&self, group: usize) -> Vec<NodeId> {
         let board = self.board.borrow();
         let s = &self.settings;
-        let near = board.members().iter().filter(|(_, z)| s.zones.get(z) == Some(&s.region)).map(|(n, _)| *n);
+        let near = board.members().iter().filter(|m| s.zones.get(&m.zone) == Some(&s.region)).map(|m| m.node);
         let key = NEIGHBOURS ^ group as u64;
         let first = limeway_membership::preferred_node(key, near.clone());
         let second = limeway_membership::preferred_node(key, near.filter(|n| Some(*n) != first));
--- a/crates/balancer/src/service.rs
+++ b/crates/balancer/src/service.rs
@@ -10,8 +10,8 @@
 use error_stack::{Report, ResultExt};
 use limeway_consensus::{Acceptor, NodeId};
 use limeway_control_plane::Event;
-use limeway_distribution::parcel::unseal;
-use limeway_distribution::unpack;
+use limeway_distribution::decode;
+use limeway_distribution::transfer::decompress;
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound};
 use limeway_routing_config::{Operation, State};
@@ -90,11 +90,11 @@
 /// The state that a snapshot and the operations since make; nothing if they cannot be read.
 fn state(found: Recovered) -> Option<State> {
     let mut state: State = match found.snapshot {
-        Some((_, bytes)) => unpack(&bytes)?,
+        Some((_, bytes)) => decode(&bytes)?,
         None => State::default(),
     };
     for (_, op) in found.operations.iter().filter(|(slot, _)| *slot <= found.acceptor.applied) {
-        state.apply(&unpack::<Operation>(&unseal(op)?)?);
+        state.apply(&decode::<Operation>(&decompress(op)?)?);
     }
     (state.slot == found.acceptor.applied).then_some(state)
 }
--- a/crates/balancer/tests/links.rs
+++ b/crates/balancer/tests/links.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use limeway_balancer::link::{self, Link, LinkError};
 use limeway_balancer::messages::{Call, Reply};
-use limeway_distribution::parcel::Want;
+use limeway_distribution::transfer::StateRequest;
 use limeway_rpc::{Answerer, Body};
 use rstest::rstest;
 use std::future::Future;
@@ -87,7 +87,7 @@
         let asking = link.clone();
         let other = spawn_local(async move { asking.call(&unit("held"), SOON).await });
         assert!(matches!(
-            link.call(&Call::Fetch(Want { slot: 1, have: None, room: 0 }), SHORT).await,
+            link.call(&Call::Fetch(StateRequest { slot: 1, received: None, max_bytes: 0 }), SHORT).await,
             Err(LinkError::Late)
         ));
         assert!(matches!(link.call(&unit("at once"), SOON).await, Ok(Reply::Done)));
--- a/crates/control/control-plane/src/ballots.rs
+++ b/crates/control/control-plane/src/ballots.rs
@@ -4,7 +4,7 @@
 use crate::paper::After;
 use crate::{Action, Asked, Marker, Micros, Token};
 use limeway_consensus::{AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot};
-use limeway_distribution::parcel::Want;
+use limeway_distribution::transfer::StateRequest;
 use serde_bytes::ByteBuf;
 
 /// A voter's word counts for so long.
@@ -230,7 +230,7 @@
 
     /// Applies a chosen value, if its slot is the next. False if it is not.
     pub(crate) fn learn(&mut self, now: Micros, slot: Slot, value: &[u8], out: &mut Vec<Action>) -> bool {
-        if self.board.state.slot + 1 != slot || !self.board.step(value) {
+        if self.board.state.slot + 1 != slot || !self.board.apply_operation(value) {
             return false;
         }
         self.gather(slot - 1);
@@ -252,7 +252,7 @@
             return out.push(Action::Reply(token, Reply::Not));
         }
         if self.board.state.slot + 1 == slot {
-            if !self.board.step(value) {
+            if !self.board.apply_operation(value) {
                 return out.push(Action::Reply(token, Reply::Not));
             }
             self.gather(slot - 1);
@@ -296,7 +296,7 @@
         if from == self.start.me || self.ballots.fetching.is_some_and(|until| now < until) {
             return;
         }
-        let want = self.board.want();
+        let want = self.board.state_request();
         self.ballots.fetching = Some(now + FETCH_WAIT);
         self.send(from, Call::Fetch(want), FETCH_WAIT, Asked::Fetch(from, want), out);
     }
@@ -304,7 +304,7 @@
     pub(crate) fn fetched(
         &mut self,
         now: Micros,
-        (from, want): (NodeId, Want),
+        (from, want): (NodeId, StateRequest),
         reply: Option<Reply>,
         out: &mut Vec<Action>,
     ) {
@@ -314,11 +314,11 @@
             return;
         };
         let before = self.board.state.slot;
-        if self.board.walk(want.slot, steps) {
+        if self.board.apply_update(want.slot, steps) {
             self.gather(before);
             self.applied(now, Vec::new(), out);
         }
-        if self.board.want() != want {
+        if self.board.state_request() != want {
             // There may be more.
             self.fetch(now, from, out);
         }
@@ -326,7 +326,7 @@
 
     /// What was applied after a slot goes to disk: the operations, or all if they were not told.
     fn gather(&mut self, slot: Slot) {
-        match self.board.sealed_after(slot) {
+        match self.board.compressed_after(slot) {
             Some(ops) => (slot + 1..).zip(ops).for_each(|(at, op)| self.paper.applied(at, op)),
             None => self.paper.jumped(),
         }
--- a/crates/control/control-plane/src/contact.rs
+++ b/crates/control/control-plane/src/contact.rs
@@ -110,7 +110,7 @@
             // Once the disk takes writes again, this machine votes again.
             self.write(Vec::new(), out);
         }
-        self.board.watch.expire(now, MISSED * self.start.heartbeat + 700_000);
+        self.board.registry.expire(now, MISSED * self.start.heartbeat + 700_000);
         self.roster.expire(now);
         self.sweep_counts(now);
         self.refresh(now);
@@ -129,7 +129,7 @@
         let held = self.duties.held(now);
         let beats: Vec<ServerReport> = {
             let ids = std::mem::take(&mut self.beats);
-            ids.iter().filter_map(|id| self.board.watch.report(now, id)).collect()
+            ids.iter().filter_map(|id| self.board.registry.report(now, id)).collect()
         };
         self.direct.retain(|_, p| now.saturating_sub(p.age) < limeway_membership::MEMBER_LEASE);
         let age = |p: &MemberHeartbeat| MemberHeartbeat { age: now.saturating_sub(p.age), ..p.clone() };
@@ -244,7 +244,7 @@
         if asked > self.settled {
             let was = self.touch(now);
             self.settled = asked;
-            self.board.sure = self.board.sure.max(asked);
+            self.board.confirmed_at = self.board.confirmed_at.max(asked);
             if !was && self.touch(now) {
                 // Polls that came meanwhile were answered at once; members and servers may be news.
                 self.news.look = true;
@@ -284,7 +284,7 @@
             std::mem::take(&mut self.contact.finish) && self.contact.pending == self.board.state.slot + 1;
         if due {
             let nothing = Operation::SetGateways { add: Vec::new(), remove: Vec::new() };
-            self.hold(now, ByteBuf::from(limeway_distribution::pack(&nothing)), out);
+            self.hold(now, ByteBuf::from(limeway_distribution::encode(&nothing)), out);
         }
         due
     }
@@ -344,7 +344,7 @@
             pending: self.acceptor.slot_state.accepted.is_some(),
             held: self.duties.held(now),
             given,
-            servers: if ping.all { self.board.watch.full_report(now) } else { Vec::new() },
+            servers: if ping.all { self.board.registry.full_report(now) } else { Vec::new() },
         }
     }
 
--- a/crates/control/control-plane/src/duties.rs
+++ b/crates/control/control-plane/src/duties.rs
@@ -92,7 +92,7 @@
             return;
         }
         let live = self.roster.live(now).filter(|m| m.ready);
-        let members = live.map(|m| (m.node, m.zone.to_owned())).collect();
+        let members = live.map(|m| (m.node, m.zone.to_owned()).into()).collect();
         let mut news = self.board.set_members(members);
         for group in 0..SHARDS {
             let holder = self.votes.holder(now, group).unwrap_or_default();
--- a/crates/control/control-plane/src/lib.rs
+++ b/crates/control/control-plane/src/lib.rs
@@ -24,15 +24,14 @@
 mod servers;
 
 use limeway_consensus::{Acceptor, DiskIncarnation, NodeId, Slot, Voter};
-use limeway_distribution::parcel::Want;
-use limeway_distribution::Board;
+use limeway_distribution::transfer::StateRequest;
+use limeway_distribution::StateCache;
 use limeway_membership::{HeldLeases, LeaseVoter, MemberHeartbeat, Membership, SHARDS};
 use limeway_quota::count::Count;
 use limeway_quota::Rule;
 use limeway_routing_config::{ConfigUpdate, InvalidConfig, RoutingSnapshot, State};
 use limeway_service_registry::ServerReport;
 use messages::{Call, Reply, Standing};
-use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -181,7 +180,7 @@
     start: Start,
     started: Micros,
     /// What it knows, and tells limiters.
-    board: Board,
+    board: StateCache,
     acceptor: Acceptor,
     plan: Rc<RoutingSnapshot>,
     /// The seats when this machine last looked.
@@ -219,7 +218,7 @@
 enum Asked {
     Round(u64, NodeId),
     Ballot(u64, NodeId),
-    Fetch(NodeId, Want),
+    Fetch(NodeId, StateRequest),
     Chosen(NodeId, Slot),
     Spread(u64),
 }
@@ -227,7 +226,7 @@
 impl Marker {
     /// A core machine that starts with what was found on its disk.
     pub fn new(now: Micros, start: Start, out: &mut Vec<Action>) -> Self {
-        let mut board = Board::new(start.boot);
+        let mut board = StateCache::new(start.boot);
         board.state = start.state.clone();
         if start.founder && board.state.voters.is_empty() {
             // The same list for all at the first start, and never again: what the settings file says later decides nothing.
@@ -299,7 +298,7 @@
             }
             Call::Chosen(slot, value) => return self.chosen_elsewhere(now, token, slot, &value, out),
             Call::Poll(poll) => return self.poll(now, token, *poll, out),
-            Call::Fetch(want) => Reply::Steps(self.board.steps(&want)),
+            Call::Fetch(want) => Reply::Steps(self.board.state_update(&want)),
             Call::Ping(ping) => Reply::Pong(self.pong(now, *ping, out)),
             Call::Push(reports) => {
                 self.hear_all(now, &reports, false);
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -1,8 +1,8 @@
 //! What processes of the system say to each other.
 
 use limeway_consensus::{AcceptorReply, DiskIncarnation, NodeId, ProposalNumber, Slot};
-use limeway_distribution::parcel::Want;
-use limeway_distribution::{Feed, Poll, Steps};
+use limeway_distribution::transfer::StateRequest;
+use limeway_distribution::{LongPoll, StateUpdate, UpdateResponse};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Request};
 use limeway_service_registry::ServerReport;
@@ -19,13 +19,13 @@
     /// A value is chosen. Answered with [`Reply::Done`] once it is on disk there, and else with [`Reply::Not`].
     Chosen(Slot, ByteBuf),
     /// What leads to the state, or the next piece of it.
-    Fetch(Want),
+    Fetch(StateRequest),
     /// A core machine's round to the others.
     Ping(Box<Ping>),
     /// Servers that are news.
     Push(Vec<ServerReport>),
     /// A limiter wants news.
-    Poll(Box<Poll>),
+    Poll(Box<LongPoll>),
     /// A limiter wants a unit of a tenant for one request that it has now, of what its neighbour holds.
     Unit(String),
     /// A limiter wants units.
@@ -38,11 +38,11 @@
     /// To [`Call::Prepare`] and [`Call::Accept`].
     Word(AcceptorReply),
     /// To [`Call::Fetch`].
-    Steps(Steps),
+    Steps(StateUpdate),
     /// To [`Call::Ping`].
     Pong(Pong),
     /// To [`Call::Poll`].
-    Feed(Box<Feed>),
+    Feed(Box<UpdateResponse>),
     /// To [`Call::Ask`]; what is not granted here is left out.
     Grants(Vec<Answer>),
     /// Done.
--- a/crates/control/control-plane/src/news.rs
+++ b/crates/control/control-plane/src/news.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Reply;
 use crate::{Action, Marker, Micros, Token};
-use limeway_distribution::Poll;
+use limeway_distribution::LongPoll;
 
 /// Longest that a poll is held.
 const HOLD_MOST: Micros = 2_000_000;
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 struct Held {
     token: Token,
-    poll: Poll,
+    poll: LongPoll,
     since: Micros,
     until: Micros,
 }
@@ -38,8 +38,10 @@
 }
 
 impl Marker {
-    pub(crate) fn poll(&mut self, now: Micros, token: Token, poll: Poll, out: &mut Vec<Action>) {
-        for presence in std::iter::once(&poll.me).chain(&poll.below).filter(|p| p.frontend.port() != 0) {
+    pub(crate) fn poll(&mut self, now: Micros, token: Token, poll: LongPoll, out: &mut Vec<Action>) {
+        for presence in
+            std::iter::once(&poll.sender).chain(&poll.downstream).filter(|p| p.frontend.port() != 0)
+        {
             self.news.look |= self.roster.observe(now, presence);
             if self.direct.len() < limeway_membership::MAX_MEMBERS || self.direct.contains_key(&presence.node)
             {
@@ -49,7 +51,7 @@
                 self.direct.insert(presence.node, seen);
             }
         }
-        let until = now + poll.wait.min(HOLD_MOST);
+        let until = now + poll.max_wait.min(HOLD_MOST);
         let held = Held { token, poll, since: now, until };
         if self.news.held.len() >= POLLS_MOST {
             return self.tell(now, held, out);
@@ -59,7 +61,7 @@
     }
 
     fn tell(&self, now: Micros, held: Held, out: &mut Vec<Action>) {
-        let feed = self.board.feed(now, &held.poll, now - held.since);
+        let feed = self.board.respond(now, &held.poll, now - held.since);
         out.push(Action::Reply(held.token, Reply::Feed(Box::new(feed))));
     }
 
@@ -75,7 +77,7 @@
             return;
         }
         for held in std::mem::take(&mut self.news.held) {
-            if all || now >= held.until || self.board.has_news(&held.poll) {
+            if all || now >= held.until || self.board.has_update(&held.poll) {
                 self.tell(now, held, out);
             } else {
                 self.news.held.push(held);
--- a/crates/control/control-plane/src/orders.rs
+++ b/crates/control/control-plane/src/orders.rs
@@ -189,7 +189,7 @@
             if free && std::mem::take(&mut self.contact.sets) {
                 let next = self.next_seats(now).or_else(|| self.next_answered(now));
                 if let Some(op) = next.or_else(|| self.next_doors(now)) {
-                    self.hold(now, ByteBuf::from(limeway_distribution::pack(&op)), out);
+                    self.hold(now, ByteBuf::from(limeway_distribution::encode(&op)), out);
                     free = self.ballots.free(now);
                 }
             }
@@ -214,7 +214,7 @@
                 self.orders.waiting.push_back(waiting);
             }
             let Some(op) = first else { return };
-            self.hold(now, ByteBuf::from(limeway_distribution::pack(&op)), out);
+            self.hold(now, ByteBuf::from(limeway_distribution::encode(&op)), out);
             // Where one seat is all there are, its word may have come at once.
             if self.board.state.slot == slot {
                 return;
--- a/crates/control/control-plane/src/paper.rs
+++ b/crates/control/control-plane/src/paper.rs
@@ -118,7 +118,7 @@
         let log = (self.paper.log.0 + ops.len(), self.paper.log.1 + bytes);
         let due = self.paper.whole || log.0 > LOG_MOST.0 || log.1 > LOG_MOST.1;
         let state = &self.board.state;
-        let snapshot = due.then(|| (state.slot, limeway_distribution::pack(state)));
+        let snapshot = due.then(|| (state.slot, limeway_distribution::encode(state)));
         let ops = if due { Vec::new() } else { ops };
         self.paper.log = if due { (0, 0) } else { log };
         self.paper.whole = false;
--- a/crates/control/control-plane/src/servers.rs
+++ b/crates/control/control-plane/src/servers.rs
@@ -22,7 +22,7 @@
     pub(crate) fn hear_all(&mut self, now: Micros, reports: &[ServerReport], direct: bool) -> bool {
         let mut news = false;
         for report in reports {
-            let heard = self.board.watch.observe(now, report);
+            let heard = self.board.registry.observe(now, report);
             news |= heard == Observation::Changed;
             if direct && heard != Observation::Ignored {
                 self.beats.insert(report.id.clone());
@@ -51,9 +51,9 @@
         if !self.touch(now) {
             return out.push(Action::Tell(token, Told::Unclear));
         }
-        let ended = self.board.watch.deregister(now, id);
+        let ended = self.board.registry.deregister(now, id);
         self.news.fresh = true;
-        match ended.then(|| self.board.watch.report(now, id)).flatten() {
+        match ended.then(|| self.board.registry.report(now, id)).flatten() {
             Some(report) => self.spread(Some(token), report, out),
             // Nothing is known of it, so nothing goes there.
             None => out.push(Action::Tell(token, Told::Done)),
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -4,8 +4,8 @@
 
 use limeway_consensus::{AcceptorReply, ProposalNumber, SlotState, Voter};
 use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
-use limeway_distribution::parcel::{Have, Label, Part, Want};
-use limeway_distribution::{pack, unpack, Feed, Poll, Steps};
+use limeway_distribution::transfer::{Chunk, Received, StateRequest, TransferId};
+use limeway_distribution::{decode, encode, LongPoll, StateUpdate, UpdateResponse};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
 use limeway_routing_config::ConfigUpdate;
@@ -33,9 +33,9 @@
 /// The value is written as it was recorded, and what was recorded is read as the same value.
 fn check<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
     let expected = recorded(name);
-    assert_eq!(hex(&pack(value)), hex(&expected), "{name} is written differently");
-    let read: T = unpack(&expected).expect("readable");
-    assert_eq!(hex(&pack(&read)), hex(&expected), "{name} is read differently");
+    assert_eq!(hex(&encode(value)), hex(&expected), "{name} is written differently");
+    let read: T = decode(&expected).expect("readable");
+    assert_eq!(hex(&encode(&read)), hex(&expected), "{name} is read differently");
 }
 
 fn address(last: u8, port: u16) -> SocketAddrV4 {
@@ -79,14 +79,14 @@
     }
 }
 
-fn want() -> Want {
-    let label = Label { whole: true, slot: 64, digest: 0x0123_4567_89ab_cdef };
-    Want { slot: 12, have: Some(Have { label, at: 2_048 }), room: 32_768 }
+fn want() -> StateRequest {
+    let label = TransferId { is_snapshot: true, slot: 64, digest: 0x0123_4567_89ab_cdef };
+    StateRequest { slot: 12, received: Some(Received { transfer: label, offset: 2_048 }), max_bytes: 32_768 }
 }
 
-fn part() -> Part {
-    let label = Label { whole: false, slot: 13, digest: 7 };
-    Part { label, size: 4, at: 1, bytes: ByteBuf::from(vec![1, 2, 3]) }
+fn part() -> Chunk {
+    let label = TransferId { is_snapshot: false, slot: 13, digest: 7 };
+    Chunk { transfer: label, size: 4, offset: 1, bytes: ByteBuf::from(vec![1, 2, 3]) }
 }
 
 fn request() -> Request {
@@ -141,14 +141,14 @@
         claims: vec![LeaseRequest { shard: 4, incarnation: 5, renewal: true }],
         all: true,
     };
-    let poll = Poll {
-        me: presence(),
-        below: vec![presence()],
-        want: want(),
-        epoch: 5,
-        servers: 6,
-        members: 7,
-        wait: 2_000_000,
+    let poll = LongPoll {
+        sender: presence(),
+        downstream: vec![presence()],
+        request: want(),
+        incarnation: 5,
+        registry_revision: 6,
+        members_revision: 7,
+        max_wait: 2_000_000,
     };
     check("call-prepare", &Call::Prepare(13, ballot(4)));
     check("call-accept", &Call::Accept(13, ballot(4), ByteBuf::from(vec![9, 8])));
@@ -171,17 +171,17 @@
         given: vec![4, 5],
         servers: vec![report(Phase::Ready)],
     };
-    let feed = |steps: Steps, members| Feed {
-        held: 10,
-        age: Some(20),
+    let feed = |steps: StateUpdate, members| UpdateResponse {
+        waited: 10,
+        confirmed_age: Some(20),
         slot: 12,
-        steps,
-        epoch: 5,
-        change: 6,
+        state_update: steps,
+        incarnation: 5,
+        registry_revision: 6,
         servers: vec![report(Phase::Ready)],
-        full: true,
+        full_registry: true,
         holders: vec![(1, 5).into(), (0, 0).into()],
-        members_change: 7,
+        members_revision: 7,
         members,
     };
     check("reply-promise", &Reply::Word(AcceptorReply::Promised { disk: 9, accepted }));
@@ -190,14 +190,17 @@
     check("reply-decided", &Reply::Word(AcceptorReply::Decided(13)));
     check("reply-behind", &Reply::Word(AcceptorReply::Behind(11)));
     check("reply-abstains", &Reply::Word(AcceptorReply::Abstained));
-    check("reply-steps-ops", &Reply::Steps(Steps::Ops(vec![ByteBuf::from(vec![0, 1])])));
-    check("reply-steps-part", &Reply::Steps(Steps::Part(part())));
+    check("reply-steps-ops", &Reply::Steps(StateUpdate::Operations(vec![ByteBuf::from(vec![0, 1])])));
+    check("reply-steps-part", &Reply::Steps(StateUpdate::Chunk(part())));
     check("reply-pong", &Reply::Pong(pong));
     check(
         "reply-feed",
-        &Reply::Feed(Box::new(feed(Steps::Elsewhere(64), Some(vec![(20, "north-a".into())])))),
+        &Reply::Feed(Box::new(feed(
+            StateUpdate::FetchFromCore(64),
+            Some(vec![(20, "north-a".to_owned()).into()]),
+        ))),
     );
-    check("reply-feed-ops", &Reply::Feed(Box::new(feed(Steps::Ops(Vec::new()), None))));
+    check("reply-feed-ops", &Reply::Feed(Box::new(feed(StateUpdate::Operations(Vec::new()), None))));
     check("reply-grants", &Reply::Grants(vec![answer()]));
     check("reply-done", &Reply::Done);
     check("reply-not", &Reply::Not);
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Boards, polls and operations for the tests of this package.
 #![allow(dead_code)]
 
-use limeway_distribution::{pack, Board, Micros, Poll};
+use limeway_distribution::{encode, LongPoll, Micros, StateCache};
 use limeway_membership::MemberHeartbeat;
 use limeway_routing_config::Operation;
 use limeway_routing_config::{Item, ItemKind};
@@ -14,8 +14,16 @@
 }
 
 /// A poll of one who knows so much of the teller's board.
-pub fn poll(board: &Board, epoch: u64, servers: u64, members: u64) -> Poll {
-    Poll { me: presence(1), below: Vec::new(), want: board.want(), epoch, servers, members, wait: 600_000 }
+pub fn poll(board: &StateCache, epoch: u64, servers: u64, members: u64) -> LongPoll {
+    LongPoll {
+        sender: presence(1),
+        downstream: Vec::new(),
+        request: board.state_request(),
+        incarnation: epoch,
+        registry_revision: servers,
+        members_revision: members,
+        max_wait: 600_000,
+    }
 }
 
 pub fn report(id: u64, count: u64, phase: Phase) -> ServerReport {
@@ -48,7 +56,7 @@
     };
     let version = seed as u32;
     let set = (0..count).map(route).collect();
-    pack(&Operation::UpdateConfig {
+    encode(&Operation::UpdateConfig {
         version,
         base_version: version.saturating_sub(1),
         replace: false,
@@ -59,13 +67,13 @@
 }
 
 /// A core machine that is sure at `now`, with so many operations and a big one among them.
-pub fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> Board {
-    let mut board = Board::new(epoch);
-    board.step(&pack(&seats(machines)));
+pub fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> StateCache {
+    let mut board = StateCache::new(epoch);
+    board.apply_operation(&encode(&seats(machines)));
     if big > 0 {
-        board.step(&routes(1, big));
+        board.apply_operation(&routes(1, big));
     }
-    board.sure = now;
+    board.confirmed_at = now;
     board
 }
 
--- a/crates/control/distribution/tests/following.rs
+++ b/crates/control/distribution/tests/follower.rs
@@ -3,9 +3,11 @@
 mod common;
 
 use common::{core, presence};
-use limeway_distribution::follow::{Follower, Next, GAP, PAUSE_FIRST, PAUSE_MOST, SPACING};
-use limeway_distribution::parcel::{PART, PART_LEAST};
-use limeway_distribution::{pack, Board, Micros};
+use limeway_distribution::follower::{
+    Follower, FollowerAction, INITIAL_BACKOFF, MAX_BACKOFF, RETRY_INTERVAL, UPDATE_SPACING,
+};
+use limeway_distribution::transfer::{MAX_CHUNK_BYTES, MIN_CHUNK_BYTES};
+use limeway_distribution::{encode, Micros, StateCache};
 use limeway_membership::NodeId;
 use limeway_routing_config::Operation;
 use rstest::rstest;
@@ -27,7 +29,7 @@
 
 struct Play {
     follower: Follower,
-    board: Board,
+    board: StateCache,
     tellers: BTreeMap<NodeId, Teller>,
     core: Vec<NodeId>,
     members: Vec<NodeId>,
@@ -42,7 +44,7 @@
     fn new(seeds: &[NodeId], core: &[NodeId], tellers: &[(NodeId, Teller)]) -> Self {
         Play {
             follower: Follower::new(50, "z", seeds.to_vec()),
-            board: Board::relay(9),
+            board: StateCache::relay(9),
             tellers: tellers.iter().copied().collect(),
             core: core.to_vec(),
             members: Vec::new(),
@@ -54,10 +56,10 @@
 
     fn until(&mut self, end: Micros) {
         while self.now < end {
-            match self.follower.next(self.now, &self.board) {
-                Next::Wait(until) => self.now = until.max(self.now + STEP).min(end),
-                Next::Fetch(..) => panic!("nothing big is told here"),
-                Next::Poll(node) => self.poll(node),
+            match self.follower.next_action(self.now, &self.board) {
+                FollowerAction::Wait(until) => self.now = until.max(self.now + STEP).min(end),
+                FollowerAction::Fetch(..) => panic!("nothing big is told here"),
+                FollowerAction::Poll(node) => self.poll(node),
             }
         }
     }
@@ -69,19 +71,19 @@
         let how = self.tellers.get(&node).copied().unwrap_or(Teller::Silent);
         if how == Teller::Silent {
             self.now += 300_000;
-            return self.follower.failed(self.now, node);
+            return self.follower.handle_failure(self.now, node);
         }
         let sure = if how == Teller::InTouch { asked - 200_000 } else { 1 };
         let mut teller = core(u64::from(node), sure, &self.core, 0);
         for mark in 0..self.changes {
-            teller.step(&pack(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
+            teller.apply_operation(&encode(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
         }
-        teller.set_members(self.members.iter().map(|n| (*n, "y".to_owned())).collect());
-        let held = if how == Teller::InTouch && !teller.has_news(&poll) { 600_000 } else { 0 };
-        teller.sure += if how == Teller::InTouch { held } else { 0 };
+        teller.set_members(self.members.iter().map(|n| (*n, "y".to_owned()).into()).collect());
+        let held = if how == Teller::InTouch && !teller.has_update(&poll) { 600_000 } else { 0 };
+        teller.confirmed_at += if how == Teller::InTouch { held } else { 0 };
         self.now += held + STEP;
-        let feed = teller.feed(self.now - STEP, &poll, held);
-        self.follower.fed(self.now, asked, &poll.want, node, feed, &mut self.board);
+        let feed = teller.respond(self.now - STEP, &poll, held);
+        self.follower.handle_response(self.now, asked, &poll.request, node, feed, &mut self.board);
     }
 
     fn times(&self, node: NodeId) -> Vec<Micros> {
@@ -116,23 +118,23 @@
     play.tellers.insert(first, how);
     play.until(80_000_000);
     let gaps: Vec<Micros> = play.times(first).windows(2).map(|t| t[1] - t[0]).collect();
-    let mut pause = PAUSE_FIRST;
+    let mut pause = INITIAL_BACKOFF;
     for gap in &gaps {
         assert!((pause..pause + 1_300_000).contains(gap), "{gap} after a pause of {pause}");
-        pause = (2 * pause).min(PAUSE_MOST);
+        pause = (2 * pause).min(MAX_BACKOFF);
     }
     assert!(gaps.len() >= 6, "it is asked again for ever: {gaps:?}");
     // Another one was asked at once, and the limiter stays sure.
     assert!(play.asked[1].0 <= play.asked[0].0 + 300_000 && play.asked[1].1 != first);
-    assert!(play.board.is_sure(play.now));
+    assert!(play.board.is_confirmed(play.now));
 
     // In touch again, it is the first choice at once after its pause; the next pause is a short one.
     play.tellers.insert(first, Teller::InTouch);
-    play.until(play.now + PAUSE_MOST + 1_000_000);
+    play.until(play.now + MAX_BACKOFF + 1_000_000);
     assert_eq!(play.asked.last().map(|(_, n)| *n), Some(first));
     play.tellers.insert(first, how);
     let back = play.now;
-    play.until(back + 1_000_000 + PAUSE_FIRST + 1_300_000);
+    play.until(back + 1_000_000 + INITIAL_BACKOFF + 1_300_000);
     assert!(play.times(first).iter().filter(|t| **t >= back).count() >= 2);
 }
 
@@ -143,15 +145,19 @@
     let mut play = Play::new(&core, &core, &core.map(|n| (n, Teller::CutOff)));
     play.members = vec![60, 61, 62];
     play.until(50_000_000);
-    assert!(!play.board.is_sure(play.now));
+    assert!(!play.board.is_confirmed(play.now));
     let span = 50_000_000 - play.asked[core.len()].0;
-    assert!(play.asked.len() as u64 <= core.len() as u64 + 3 + span / GAP, "{} questions", play.asked.len());
+    assert!(
+        play.asked.len() as u64 <= core.len() as u64 + 3 + span / RETRY_INTERVAL,
+        "{} questions",
+        play.asked.len()
+    );
     for machine in core {
         play.tellers.insert(machine, Teller::InTouch);
     }
     let back = play.now;
     play.until(back + 1_000_000);
-    assert!(play.board.is_sure(play.now), "a second after the core is back");
+    assert!(play.board.is_confirmed(play.now), "a second after the core is back");
 }
 
 #[rstest]
@@ -165,7 +171,7 @@
         play.tellers.insert(*node, Teller::InTouch);
     }
     play.until(20_000_000 + 5_000_000);
-    assert!(play.board.is_sure(play.now), "asked {:?}", play.asked);
+    assert!(play.board.is_confirmed(play.now), "asked {:?}", play.asked);
     // What the seeds say of members is not believed, though it led the way.
     assert_eq!(play.board.members().len(), 2);
     assert!(play.asked.len() < 60, "{} questions", play.asked.len());
@@ -180,23 +186,27 @@
     play.changes = 1;
     play.poll(1);
     assert_eq!(play.board.state.slot, 2);
-    assert_eq!(play.follower.next(play.now, &play.board), Next::Wait(play.now + SPACING));
-    play.now += SPACING;
+    assert_eq!(
+        play.follower.next_action(play.now, &play.board),
+        FollowerAction::Wait(play.now + UPDATE_SPACING)
+    );
+    play.now += UPDATE_SPACING;
     play.poll(1);
-    assert_eq!(play.follower.next(play.now, &play.board), Next::Poll(1));
+    assert_eq!(play.follower.next_action(play.now, &play.board), FollowerAction::Poll(1));
 }
 
 #[rstest]
 fn less_is_asked_for_where_answers_do_not_come() {
     let mut play = Play::new(&[1], &[1], &[1].map_in_touch());
-    let room =
-        |play: &mut Play| play.follower.poll(play.now, &play.board, presence(50), 0).want.room as usize;
-    let mut most = PART;
+    let room = |play: &mut Play| {
+        play.follower.poll(play.now, &play.board, presence(50), 0).request.max_bytes as usize
+    };
+    let mut most = MAX_CHUNK_BYTES;
     for _ in 0..10 {
         assert_eq!(room(&mut play), most);
-        play.follower.failed(play.now, 1);
-        most = (most / 2).max(PART_LEAST);
+        play.follower.handle_failure(play.now, 1);
+        most = (most / 2).max(MIN_CHUNK_BYTES);
     }
     play.poll(1);
-    assert_eq!(room(&mut play), 2 * PART_LEAST);
+    assert_eq!(room(&mut play), 2 * MIN_CHUNK_BYTES);
 }
--- a/crates/control/distribution/tests/storm.rs
+++ b/crates/control/distribution/tests/storm.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{core, presence, routes};
-use limeway_distribution::follow::{Follower, Next};
-use limeway_distribution::parcel::Want;
-use limeway_distribution::{Board, Feed, Member, Micros, Poll, Steps};
+use limeway_distribution::follower::{Follower, FollowerAction};
+use limeway_distribution::transfer::StateRequest;
+use limeway_distribution::{LongPoll, Member, Micros, StateCache, StateUpdate, UpdateResponse};
 use limeway_membership::NodeId;
 use rstest::rstest;
 
@@ -23,19 +23,19 @@
 
 enum Asked {
     Nothing,
-    Poll(NodeId, Box<Poll>),
-    Fetch(NodeId, Want),
+    Poll(NodeId, Box<LongPoll>),
+    Fetch(NodeId, StateRequest),
 }
 
 enum Answer {
-    Feed(Box<Feed>),
-    Steps(Steps),
+    Feed(Box<UpdateResponse>),
+    Steps(StateUpdate),
 }
 
 struct Limiter {
     node: NodeId,
     follower: Follower,
-    board: Board,
+    board: StateCache,
     asked: Asked,
     at: Micros,
     answer: Option<(Micros, Answer)>,
@@ -44,24 +44,25 @@
 }
 
 fn size(message: &impl serde::Serialize) -> u64 {
-    limeway_distribution::pack(message).len() as u64 + 60
+    limeway_distribution::encode(message).len() as u64 + 60
 }
 
 struct Zone {
     now: Micros,
-    core: Board,
+    core: StateCache,
     limiters: Vec<Limiter>,
 }
 
 impl Zone {
     fn new() -> Self {
         let mut board = core(7, 1, &CORE, 0);
-        let members: Vec<Member> = (0..LIMITERS).map(|n| (100 + n as NodeId, "z".to_owned())).collect();
+        let members: Vec<Member> =
+            (0..LIMITERS).map(|n| (100 + n as NodeId, "z".to_owned()).into()).collect();
         board.set_members(members);
         let limiter = |n: usize| Limiter {
             node: 100 + n as NodeId,
             follower: Follower::new(100 + n as NodeId, "z", CORE.to_vec()),
-            board: Board::relay(50 + n as u64),
+            board: StateCache::relay(50 + n as u64),
             asked: Asked::Nothing,
             at: 0,
             answer: None,
@@ -86,7 +87,7 @@
         self.now += TICK;
         let now = self.now;
         if now.is_multiple_of(250_000) {
-            self.core.sure = now - 100_000;
+            self.core.confirmed_at = now - 100_000;
         }
         for n in 0..LIMITERS {
             self.ask(n);
@@ -100,10 +101,10 @@
         if !matches!(l.asked, Asked::Nothing) {
             return;
         }
-        l.asked = match l.follower.next(now, &l.board) {
-            Next::Wait(_) => return,
-            Next::Fetch(node, want) => Asked::Fetch(node, want),
-            Next::Poll(node) => {
+        l.asked = match l.follower.next_action(now, &l.board) {
+            FollowerAction::Wait(_) => return,
+            FollowerAction::Fetch(node, want) => Asked::Fetch(node, want),
+            FollowerAction::Poll(node) => {
                 let poll = l.follower.poll(now, &l.board, presence(l.node), 600_000);
                 Asked::Poll(node, Box::new(poll))
             }
@@ -126,15 +127,15 @@
         let board = relay.map_or(&self.core, |r| &self.limiters[r].board);
         let (answer, bytes) = match &l.asked {
             Asked::Poll(_, poll) => {
-                if !board.has_news(poll) && now < board.hold_until(came, poll, 2_000_000) {
+                if !board.has_update(poll) && now < board.long_poll_deadline(came, poll, 2_000_000) {
                     return;
                 }
-                let feed = board.feed(now, poll, now - came);
+                let feed = board.respond(now, poll, now - came);
                 let bytes = size(&feed);
                 (Answer::Feed(Box::new(feed)), bytes)
             }
             Asked::Fetch(_, want) => {
-                let steps = board.steps(want);
+                let steps = board.state_update(want);
                 let bytes = size(&steps);
                 (Answer::Steps(steps), bytes)
             }
@@ -151,15 +152,15 @@
         let (Asked::Poll(node, _) | Asked::Fetch(node, _)) = &l.asked else { return };
         let node = *node;
         if late && !there {
-            l.follower.failed(now, node);
+            l.follower.handle_failure(now, node);
             (l.asked, l.answer, l.late) = (Asked::Nothing, None, l.late + 1);
         } else if there {
             match (std::mem::replace(&mut l.asked, Asked::Nothing), l.answer.take()) {
                 (Asked::Poll(_, poll), Some((_, Answer::Feed(feed)))) => {
-                    l.follower.fed(now, l.at, &poll.want, node, *feed, &mut l.board);
+                    l.follower.handle_response(now, l.at, &poll.request, node, *feed, &mut l.board);
                 }
                 (Asked::Fetch(_, want), Some((_, Answer::Steps(steps)))) => {
-                    l.follower.fetched(now, &want, steps, &mut l.board);
+                    l.follower.handle_fetched(now, &want, steps, &mut l.board);
                 }
                 _ => panic!("an answer to another question"),
             }
@@ -185,7 +186,7 @@
     zone.until(14_000_000, |_| {});
     assert_eq!(zone.lag(), 0);
     // Some 45 KB sealed: 16 of them are over two seconds of the relay's link, and a call waits 1.3 s.
-    zone.core.step(&routes(1, 2_000));
+    zone.core.apply_operation(&routes(1, 2_000));
     zone.until(16_000_000, |_| {});
     assert_eq!(zone.lag(), 0, "two seconds after it grew");
     let mut version = 1;
@@ -193,32 +194,32 @@
     zone.until(20_000_000, |zone| {
         if zone.now.is_multiple_of(250_000) {
             version += 1;
-            zone.core.step(&routes(version, 2));
+            zone.core.apply_operation(&routes(version, 2));
         }
         most = most.max(zone.lag());
     });
     assert!(most <= 8, "two seconds' changes: {most}");
     zone.until(22_000_000, |_| {});
     assert_eq!(zone.lag(), 0);
-    assert!(zone.limiters.iter().all(|l| l.late == 0 && l.board.is_sure(zone.now)));
+    assert!(zone.limiters.iter().all(|l| l.late == 0 && l.board.is_confirmed(zone.now)));
 }
 
 /// All start anew while it storms: they get the whole state, and what follows it.
 #[rstest]
 fn a_zone_that_starts_in_a_storm_catches_up_within_four_seconds() {
     let mut zone = Zone::new();
-    zone.core.step(&routes(1, 2_000));
+    zone.core.apply_operation(&routes(1, 2_000));
     for version in 2..66 {
-        zone.core.step(&routes(version, 2));
+        zone.core.apply_operation(&routes(version, 2));
     }
     let mut version = 66;
     let end = zone.now + 4_000_000;
     zone.until(end, |zone| {
         if zone.now.is_multiple_of(250_000) {
             version += 1;
-            zone.core.step(&routes(version, 2));
+            zone.core.apply_operation(&routes(version, 2));
         }
     });
     assert!(zone.lag() <= 8, "{}", zone.lag());
-    assert!(zone.limiters.iter().all(|l| l.board.is_sure(zone.now)));
+    assert!(zone.limiters.iter().all(|l| l.board.is_confirmed(zone.now)));
 }
--- a/crates/control/distribution/tests/parts.rs
+++ b/crates/control/distribution/tests/transfers.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use common::{core, poll, routes};
-use limeway_distribution::parcel::{seal, unseal, Want, PART, PART_LEAST};
-use limeway_distribution::{pack, Board, Steps};
+use limeway_distribution::transfer::{compress, decompress, StateRequest, MAX_CHUNK_BYTES, MIN_CHUNK_BYTES};
+use limeway_distribution::{encode, StateCache, StateUpdate};
 use limeway_routing_config::Operation;
 use rstest::rstest;
 
 /// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
-fn tellers(after: u64) -> [Board; 2] {
+fn tellers(after: u64) -> [StateCache; 2] {
     [1, 2].map(|epoch| {
         let mut board = core(epoch, 1, &[1, 2], 3_000);
         for n in 0..after {
-            board.step(&pack(&Operation::Evacuate {
+            board.apply_operation(&encode(&Operation::Evacuate {
                 zone: format!("z{}", n % 5),
                 starts: n % 2 == 0,
                 call_id: 0,
@@ -25,20 +25,23 @@
 }
 
 /// Takes all that a teller has; each answer leads on.
-fn follow(limiter: &mut Board, teller: &Board) {
+fn follow(limiter: &mut StateCache, teller: &StateCache) {
     let mut had = 0;
     while limiter.state.slot < teller.state.slot {
-        let want = limiter.want();
-        limiter.walk(want.slot, teller.steps(&want));
-        let now = limiter.want();
-        assert!(now.slot > want.slot || now.have.is_some_and(|h| h.at > had), "{now:?} after {want:?}");
-        had = now.have.map_or(0, |h| h.at);
+        let want = limiter.state_request();
+        limiter.apply_update(want.slot, teller.state_update(&want));
+        let now = limiter.state_request();
+        assert!(
+            now.slot > want.slot || now.received.is_some_and(|h| h.offset > had),
+            "{now:?} after {want:?}"
+        );
+        had = now.received.map_or(0, |h| h.offset);
     }
 }
 
-fn part(steps: &Steps) -> (u32, u32, usize) {
+fn part(steps: &StateUpdate) -> (u32, u32, usize) {
     match steps {
-        Steps::Part(part) => (part.at, part.size, part.bytes.len()),
+        StateUpdate::Chunk(part) => (part.offset, part.size, part.bytes.len()),
         other => panic!("no part: {other:?}"),
     }
 }
@@ -51,31 +54,31 @@
     let mut tellers = tellers(after);
     if after > 0 {
         // The other one is some slots ahead; what it tells of the whole state is the same all the same.
-        tellers[1].step(&pack(&Operation::Evacuate {
+        tellers[1].apply_operation(&encode(&Operation::Evacuate {
             zone: "ahead".into(),
             starts: true,
             call_id: 0,
             retry_of: 0,
         }));
     }
-    let mut limiter = Board::relay(9);
-    limiter.step(&pack(&common::seats(&[1, 2])));
+    let mut limiter = StateCache::relay(9);
+    limiter.apply_operation(&encode(&common::seats(&[1, 2])));
     let (mut bytes, mut size, mut turns) = (0, 0, 0);
     while limiter.state.slot < 2 {
-        let want = limiter.want();
+        let want = limiter.state_request();
         // Each answer from the other one; each third is lost with its connection.
-        let steps = tellers[turns % 2].steps(&want);
+        let steps = tellers[turns % 2].state_update(&want);
         turns += 1;
         if turns % 3 == 0 {
             continue;
         }
         let (at, whole, length) = part(&steps);
         assert_eq!(at as usize, bytes, "it goes on where it stopped");
-        assert!(length <= PART);
+        assert!(length <= MAX_CHUNK_BYTES);
         (bytes, size) = (bytes + length, whole as usize);
-        limiter.walk(want.slot, steps);
+        limiter.apply_update(want.slot, steps);
     }
-    assert!(size > 2 * PART && bytes == size, "{bytes} of {size}");
+    assert!(size > 2 * MAX_CHUNK_BYTES && bytes == size, "{bytes} of {size}");
     follow(&mut limiter, &tellers[0]);
     assert_eq!(limiter.state, tellers[0].state);
 }
@@ -85,25 +88,25 @@
 #[case::a_whole_state(70)]
 fn what_is_not_as_its_digest_says_is_begun_anew(#[case] after: u64) {
     let [teller, _] = tellers(after);
-    let mut limiter = Board::relay(9);
+    let mut limiter = StateCache::relay(9);
     let mut spoilt = false;
     for _ in 0..100 {
-        let want = limiter.want();
-        let mut steps = teller.steps(&want);
-        if let Steps::Part(part) = &mut steps {
-            if !spoilt && part.at > 0 {
+        let want = limiter.state_request();
+        let mut steps = teller.state_update(&want);
+        if let StateUpdate::Chunk(part) = &mut steps {
+            if !spoilt && part.offset > 0 {
                 spoilt = true;
                 part.bytes[100] ^= 1;
             }
-            let last = part.at as usize + part.bytes.len() == part.size as usize;
+            let last = part.offset as usize + part.bytes.len() == part.size as usize;
             let slot = limiter.state.slot;
-            let taken = limiter.walk(want.slot, steps);
+            let taken = limiter.apply_update(want.slot, steps);
             if last && !taken {
-                assert_eq!((limiter.state.slot, limiter.want().have), (slot, None));
+                assert_eq!((limiter.state.slot, limiter.state_request().received), (slot, None));
                 spoilt = true;
             }
         } else {
-            limiter.walk(want.slot, steps);
+            limiter.apply_update(want.slot, steps);
         }
     }
     assert!(spoilt);
@@ -113,54 +116,63 @@
 #[rstest]
 fn an_unfit_part_is_not_taken() {
     let [teller, _] = tellers(0);
-    let mut limiter = Board::relay(9);
-    let want = Want { slot: 1, ..limiter.want() };
-    limiter.walk(0, Steps::Ops(vec![seal(&pack(&common::seats(&[1, 2]))).into()]));
-    let Steps::Part(first) = teller.steps(&want) else { panic!("no part") };
-    limiter.walk(1, Steps::Part(first.clone()));
-    let have = limiter.want().have;
+    let mut limiter = StateCache::relay(9);
+    let want = StateRequest { slot: 1, ..limiter.state_request() };
+    limiter.apply_update(0, StateUpdate::Operations(vec![compress(&encode(&common::seats(&[1, 2]))).into()]));
+    let StateUpdate::Chunk(first) = teller.state_update(&want) else { panic!("no part") };
+    limiter.apply_update(1, StateUpdate::Chunk(first.clone()));
+    let have = limiter.state_request().received;
     // A gap, one that is longer than its parcel, and one of a parcel that is too long to be held.
     let mut gap = first.clone();
-    gap.at = 2 * PART as u32;
+    gap.offset = 2 * MAX_CHUNK_BYTES as u32;
     let mut long = first.clone();
-    (long.at, long.size) = (0, 10);
+    (long.offset, long.size) = (0, 10);
     let mut huge = first;
-    (huge.at, huge.size) = (0, u32::MAX);
+    (huge.offset, huge.size) = (0, u32::MAX);
     for unfit in [gap, long, huge] {
-        assert!(!limiter.walk(1, Steps::Part(unfit)));
-        assert_eq!(limiter.want().have, have);
+        assert!(!limiter.apply_update(1, StateUpdate::Chunk(unfit)));
+        assert_eq!(limiter.state_request().received, have);
     }
 }
 
 #[rstest]
 fn a_relay_says_that_there_is_something_big_and_tells_it_only_to_who_fetches_it() {
     let [teller, _] = tellers(0);
-    let mut relay = Board::relay(8);
+    let mut relay = StateCache::relay(8);
     // Who has nothing yet would be told the whole state, in place of the operation.
-    relay.step(&pack(&common::seats(&[1, 2])));
+    relay.apply_operation(&encode(&common::seats(&[1, 2])));
     follow(&mut relay, &teller);
-    let mut limiter = Board::relay(9);
-    limiter.step(&pack(&common::seats(&[1, 2])));
+    let mut limiter = StateCache::relay(9);
+    limiter.apply_operation(&encode(&common::seats(&[1, 2])));
     let asked = poll(&limiter, 0, 0, 0);
-    assert_eq!(relay.feed(1, &asked, 0).steps, Steps::Elsewhere(2));
-    assert_eq!(part(&relay.steps(&asked.want)), part(&teller.steps(&asked.want)));
+    assert_eq!(relay.respond(1, &asked, 0).state_update, StateUpdate::FetchFromCore(2));
+    assert_eq!(part(&relay.state_update(&asked.request)), part(&teller.state_update(&asked.request)));
     // What is small it tells.
-    relay.step(&routes(2, 1));
+    relay.apply_operation(&routes(2, 1));
     let asked = poll(&teller, 0, 0, 0);
-    assert!(matches!(relay.feed(1, &asked, 0).steps, Steps::Ops(ops) if ops.len() == 1));
+    assert!(
+        matches!(relay.respond(1, &asked, 0).state_update, StateUpdate::Operations(ops) if ops.len() == 1)
+    );
 }
 
 #[rstest]
-#[case(0, PART_LEAST)]
-#[case(PART_LEAST as u32 + 5, PART_LEAST + 5)]
-#[case(u32::MAX, PART)]
+#[case(0, MIN_CHUNK_BYTES)]
+#[case(MIN_CHUNK_BYTES as u32 + 5, MIN_CHUNK_BYTES + 5)]
+#[case(u32::MAX, MAX_CHUNK_BYTES)]
 fn no_answer_holds_more_steps_than_there_is_room_for(#[case] room: u32, #[case] most: usize) {
     let [mut teller, _] = tellers(0);
-    assert_eq!(part(&teller.steps(&Want { slot: 1, have: None, room })).2, most);
+    assert_eq!(
+        part(&teller.state_update(&StateRequest { slot: 1, received: None, max_bytes: room })).2,
+        most
+    );
     for n in 3..40 {
-        teller.step(&routes(n, 2));
+        teller.apply_operation(&routes(n, 2));
     }
-    let Steps::Ops(ops) = teller.steps(&Want { slot: 2, have: None, room }) else { panic!("no operations") };
+    let StateUpdate::Operations(ops) =
+        teller.state_update(&StateRequest { slot: 2, received: None, max_bytes: room })
+    else {
+        panic!("no operations")
+    };
     let bytes: usize = ops.iter().map(|op| op.len()).sum();
     assert!(bytes <= most && !ops.is_empty());
 }
@@ -170,8 +182,8 @@
 #[case(&[7; 255])]
 #[case(&[7; 100_000])]
 fn what_is_sealed_is_opened_as_it_was(#[case] raw: &[u8]) {
-    let sealed = seal(raw);
-    assert_eq!(unseal(&sealed).as_deref(), Some(raw));
+    let sealed = compress(raw);
+    assert_eq!(decompress(&sealed).as_deref(), Some(raw));
     assert!(sealed.len() <= raw.len() + 1);
 }
 
@@ -182,5 +194,5 @@
 #[case::longer_than_is_read(&[1, 255, 255, 255, 255, 0])]
 #[case::not_compressed(&[1, 0, 0, 0, 9, 1, 2, 3, 4])]
 fn what_cannot_be_opened_is_told(#[case] sealed: &[u8]) {
-    assert_eq!(unseal(sealed), None);
+    assert_eq!(decompress(sealed), None);
 }
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -1,7 +1,7 @@
 //! What one more limiter, server, route or tenant costs: the state machines of the system, driven by hand at one, two, four
 //! and eight times a size. `docs/CAPACITY.md` works the target out from these slopes.
 
-use limeway_distribution::{pack, Board, Poll};
+use limeway_distribution::{encode, LongPoll, StateCache};
 use limeway_membership::{MemberHeartbeat, Membership};
 use limeway_quota::count::Count;
 use limeway_quota::escrow::Escrow;
@@ -87,15 +87,15 @@
     }
 }
 
-fn poll(board: &Board, known: &Board) -> Poll {
-    Poll {
-        me: presence(1),
-        below: Vec::new(),
-        want: board.want(),
-        epoch: if known.epoch == board.epoch { 0 } else { known.epoch },
-        servers: known.watch.revision,
-        members: 0,
-        wait: 600_000,
+fn poll(board: &StateCache, known: &StateCache) -> LongPoll {
+    LongPoll {
+        sender: presence(1),
+        downstream: Vec::new(),
+        request: board.state_request(),
+        incarnation: if known.incarnation == board.incarnation { 0 } else { known.incarnation },
+        registry_revision: known.registry.revision,
+        members_revision: 0,
+        max_wait: 600_000,
     }
 }
 
@@ -111,23 +111,23 @@
     let first = 300;
     let (mut full, mut told, mut beat) = (Vec::new(), Vec::new(), Vec::new());
     for times in TIMES {
-        let mut core = Board::new(1);
+        let mut core = StateCache::new(1);
         for n in 0..first * times {
-            core.watch.observe(1_000_000, &report(n, 1));
+            core.registry.observe(1_000_000, &report(n, 1));
         }
-        let mut limiter = Board::new(2);
-        let asked = poll(&limiter, &Board::new(9));
-        let feed = core.feed(2_000_000, &asked, 0);
+        let mut limiter = StateCache::new(2);
+        let asked = poll(&limiter, &StateCache::new(9));
+        let feed = core.respond(2_000_000, &asked, 0);
         full.push(framed(&feed));
         told.push(quickest(|| {
-            let feed = core.feed(2_000_000, &asked, 0);
-            black_box(limiter.take(2_000_000, 2_000_000, 0, feed));
+            let feed = core.respond(2_000_000, &asked, 0);
+            black_box(limiter.apply_response(2_000_000, 2_000_000, 0, feed));
         }));
         let mut count = 1;
         beat.push(quickest(|| {
             count += 1;
             for n in 0..first * times {
-                black_box(core.watch.observe(3_000_000, &report(n, count)));
+                black_box(core.registry.observe(3_000_000, &report(n, count)));
             }
         }));
     }
@@ -143,13 +143,13 @@
     let (mut bytes, mut heard, mut asked) = (Vec::new(), Vec::new(), Vec::new());
     for times in TIMES {
         let mut roster = Membership::default();
-        let mut core = Board::new(1);
+        let mut core = StateCache::new(1);
         for n in 0..first * times {
             roster.observe(1_000_000, &presence(n));
         }
-        core.set_members(roster.live(1_000_000).map(|m| (m.node, m.zone.to_owned())).collect());
-        let limiter = Board::new(2);
-        bytes.push(framed(&core.feed(1_000_000, &poll(&limiter, &Board::new(9)), 0)));
+        core.set_members(roster.live(1_000_000).map(|m| (m.node, m.zone.to_owned()).into()).collect());
+        let limiter = StateCache::new(2);
+        bytes.push(framed(&core.respond(1_000_000, &poll(&limiter, &StateCache::new(9)), 0)));
         heard.push(quickest(|| {
             for n in 0..first * times {
                 black_box(roster.observe(1_500_000, &presence(n)));
@@ -157,22 +157,22 @@
         }));
         // Polls without news: the members and servers that the core told last are known.
         let mut known = poll(&core, &limiter);
-        (known.epoch, known.members) = (core.epoch, 1);
+        (known.incarnation, known.members_revision) = (core.incarnation, 1);
         asked.push(quickest(|| {
             for _ in 0..first * times {
                 let mut frame = Vec::new();
-                let _ = limeway_rpc::write(&mut frame, 1, &black_box(core.feed(1_000_000, &known, 0)));
+                let _ = limeway_rpc::write(&mut frame, 1, &black_box(core.respond(1_000_000, &known, 0)));
                 black_box(frame);
             }
         }));
     }
-    let core = Board::new(1);
-    let mut known = poll(&core, &Board::new(2));
-    known.epoch = core.epoch;
+    let core = StateCache::new(1);
+    let mut known = poll(&core, &StateCache::new(2));
+    known.incarnation = core.incarnation;
     println!(
         "a poll without news: {:.0} B, its answer {:.0} B",
         framed(&known),
-        framed(&core.feed(0, &known, 0))
+        framed(&core.respond(0, &known, 0))
     );
     vec![
         Row { name: "limiters: bytes of a feed with all members", unit: "B a limiter", first, values: bytes },
@@ -217,7 +217,7 @@
             checked.push(quickest(|| drop(black_box(state.check(&order)))));
             state.apply(&Operation::from(order));
         }
-        bytes.push(pack(&state).len() as f64);
+        bytes.push(encode(&state).len() as f64);
         let plan = state.compile_snapshot();
         planned.push(quickest(|| drop(black_box(state.compile_snapshot()))));
         held.push((resident() - before).max(0.0));
@@ -298,9 +298,9 @@
         TIMES.iter().map(one).collect::<Vec<f64>>()
     };
     let table = |n: u64| {
-        let mut board = Board::new(1);
+        let mut board = StateCache::new(1);
         (0..n).for_each(|n| {
-            board.watch.observe(1_000_000, &report(n, 1));
+            board.registry.observe(1_000_000, &report(n, 1));
         });
         forget(board);
     };
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -68,15 +68,15 @@
             ));
         }
         if let Some((slot, bytes)) = record.snapshot {
-            let state: Option<State> = limeway_distribution::unpack(&bytes);
+            let state: Option<State> = limeway_distribution::decode(&bytes);
             self.state = state.filter(|s| s.slot == slot).ok_or("a snapshot that cannot be read")?;
         }
         for (slot, op) in record.operations {
             if slot != self.state.slot + 1 {
                 return Err(format!("operation {slot} written on a state of slot {}", self.state.slot));
             }
-            let op =
-                limeway_distribution::parcel::unseal(&op).and_then(|op| limeway_distribution::unpack(&op));
+            let op = limeway_distribution::transfer::decompress(&op)
+                .and_then(|op| limeway_distribution::decode(&op));
             self.state.apply(&op.ok_or("an operation that cannot be read")?);
         }
         if record.acceptor.applied != self.state.slot {
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -188,7 +188,8 @@
 
     /// A limiter has taken a feed in.
     pub fn board(&mut self, t: Micros, at: usize, limiter: &Limiter) {
-        let (slot, sure) = (limiter.board.state.slot, limiter.board.sure.saturating_sub(limiter.offset));
+        let (slot, sure) =
+            (limiter.board.state.slot, limiter.board.confirmed_at.saturating_sub(limiter.offset));
         let (before, _) = self.boards.insert(at, (slot, sure)).unwrap_or_default();
         if slot < before {
             self.fail(format!("limiter {at} goes back from slot {before} to {slot}"));
@@ -320,16 +321,23 @@
             return Some(format!("at the end machine {} sits with a disk that is gone", seat.node - 1));
         }
         for (at, limiter) in self.people.limiters.iter().enumerate() {
-            if limiter.board.state.slot != newest.slot || limiter.board.sure + SECOND * 2 < t + limiter.offset
+            if limiter.board.state.slot != newest.slot
+                || limiter.board.confirmed_at + SECOND * 2 < t + limiter.offset
             {
-                let (slot, sure) = (limiter.board.state.slot, t + limiter.offset - limiter.board.sure);
+                let (slot, sure) =
+                    (limiter.board.state.slot, t + limiter.offset - limiter.board.confirmed_at);
                 return Some(format!(
                     "limiter {at} is not up to date at the end: slot {slot} of {}, sure {sure} us ago",
                     newest.slot
                 ));
             }
             let back = |id: &&String| {
-                limiter.board.watch.servers().get(*id).is_some_and(|s| s.phase == Phase::Ready && !s.unlisted)
+                limiter
+                    .board
+                    .registry
+                    .servers()
+                    .get(*id)
+                    .is_some_and(|s| s.phase == Phase::Ready && !s.unlisted)
             };
             if let Some(id) = self.people.gone.iter().find(back) {
                 return Some(format!("limiter {at} takes server {id} for ready, whose end was acknowledged"));
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -5,7 +5,7 @@
 use crate::{Micros, Off, SECOND};
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{Ask, Told};
-use limeway_distribution::{Board, Poll};
+use limeway_distribution::{LongPoll, StateCache};
 use limeway_membership::{MemberHeartbeat, SHARDS};
 use limeway_quota::Request;
 use limeway_routing_config::ConfigUpdate;
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Limiter {
     /// What it knows.
-    pub board: Board,
+    pub board: StateCache,
     /// Its clock shows so much more.
     pub offset: Micros,
     above: (u64, u64, u64),
@@ -116,7 +116,7 @@
     /// Nobody has done anything yet.
     pub fn new(chance: &mut Chance) -> Self {
         let limiter = |at: usize, chance: &mut Chance| Limiter {
-            board: Board::new(1_000 + at as u64),
+            board: StateCache::new(1_000 + at as u64),
             offset: chance.between(SECOND, 1_000_000 * SECOND),
             above: (0, 0, 0),
             failed: BTreeMap::new(),
@@ -322,10 +322,18 @@
         let up = order.iter().find(|m| !limiter.failed.contains_key(m));
         let to = up.or(order.first()).copied().unwrap_or(0);
         let (epoch, servers, members) = limiter.above;
-        let want = limiter.board.want();
+        let want = limiter.board.state_request();
         let number = limiter.poll.0 + 1;
         limiter.poll = (number, to, t, want.slot);
-        let poll = Poll { me, below: Vec::new(), want, epoch, servers, members, wait: HOLD };
+        let poll = LongPoll {
+            sender: me,
+            downstream: Vec::new(),
+            request: want,
+            incarnation: epoch,
+            registry_revision: servers,
+            members_revision: members,
+            max_wait: HOLD,
+        };
         self.ask_core(at, number, to, Call::Poll(Box::new(poll)));
         self.push(t + HOLD + 700_000, Ev::Answer(Origin::Limiter(at, number), None));
         self.ask_quota(at);
@@ -365,12 +373,12 @@
         match reply {
             Some(Reply::Feed(mut feed)) => {
                 if off == Off::Ages {
-                    (feed.age, feed.held, asked) = (feed.age.map(|_| 0), 0, t);
+                    (feed.confirmed_age, feed.waited, asked) = (feed.confirmed_age.map(|_| 0), 0, t);
                 }
                 let now = t + limiter.offset;
-                limiter.above = (feed.epoch, feed.change, feed.members_change);
-                let unsure = feed.age.is_none_or(|a| a > PASSED_OVER);
-                limiter.board.take(now, asked + limiter.offset, slot, *feed);
+                limiter.above = (feed.incarnation, feed.registry_revision, feed.members_revision);
+                let unsure = feed.confirmed_age.is_none_or(|a| a > PASSED_OVER);
+                limiter.board.apply_response(now, asked + limiter.offset, slot, *feed);
                 self.judge.board(t, at, limiter);
                 if unsure {
                     limiter.failed.insert(above, t + PASSED_OVER);
--- a/crates/testing/simulation/src/play.rs
+++ b/crates/testing/simulation/src/play.rs
@@ -70,7 +70,7 @@
         bytes.extend(world.judge.tally.iter().flat_map(|n| n.to_le_bytes()));
         bytes.push(u8::from(broken.is_some()));
         for machine in &world.machines {
-            bytes.extend(limeway_distribution::pack(&machine.disk.state));
+            bytes.extend(limeway_distribution::encode(&machine.disk.state));
         }
         limeway_membership::hash(&bytes)
     })
