--- a/crates/balancer/src/control.rs
+++ b/crates/balancer/src/control.rs
@@ -3,7 +3,7 @@
 use crate::clock::now;
 use crate::core::Core;
 use crate::directory::{self, query};
-use limeway_control_plane::{Ask, Event, Told};
+use limeway_control_plane::{ApiRequest, ApiResponse, Event};
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound, Stop};
 use limeway_routing_config::ConfigUpdate;
@@ -132,7 +132,7 @@
         if mark.get() != 0 && now() < begun + PATIENT {
             let taken = tokio::time::timeout(TAKEN, inbound.taken()).await;
             if taken == Ok(true) && now() < begun + PATIENT {
-                core.tell(Event::Arrived(mark.get()));
+                core.tell(Event::ResponseDelivered(mark.get()));
             }
         }
         if close {
@@ -148,15 +148,15 @@
     }
     match name {
         Name::Beat => match report(of, body) {
-            Ok(report) => told(core.ask(Ask::Beat(report)).await),
+            Ok(report) => told(core.ask(ApiRequest::Heartbeat(report)).await),
             Err(e) => error(400, e),
         },
-        Name::Leave => told(core.ask(Ask::Gone(of.to_owned())).await),
+        Name::Leave => told(core.ask(ApiRequest::Deregister(of.to_owned())).await),
         Name::Replace | Name::Update => match ConfigUpdate::parse(body, name == Name::Replace) {
-            Ok(order) => told(core.ask(Ask::Order(order)).await),
+            Ok(order) => told(core.ask(ApiRequest::UpdateConfig(order)).await),
             Err(e) => error(400, e),
         },
-        Name::Read => told(core.ask(Ask::Read).await),
+        Name::Read => told(core.ask(ApiRequest::ReadConfig).await),
         Name::EvacuationStart | Name::EvacuationFinish => {
             evacuate(core, of, name == Name::EvacuationStart, mark).await
         }
@@ -164,13 +164,13 @@
     }
 }
 
-fn told(told: Told) -> Answer {
+fn told(told: ApiResponse) -> Answer {
     match told {
-        Told::Done | Told::Taken(_) => (200, "{}".into()),
-        Told::Document(document) => (200, document),
-        Told::Stale => error(412, "another version is in place"),
-        Told::Invalid(e) => error(400, format!("invalid: {e}")),
-        Told::Unclear => error(503, "no majority of the core can be had"),
+        ApiResponse::Done | ApiResponse::EvacuationDone(_) => (200, "{}".into()),
+        ApiResponse::Document(document) => (200, document),
+        ApiResponse::VersionConflict => error(412, "another version is in place"),
+        ApiResponse::Invalid(e) => error(400, format!("invalid: {e}")),
+        ApiResponse::Indeterminate => error(503, "no majority of the core can be had"),
     }
 }
 
@@ -178,8 +178,8 @@
     if !core.settings.zones.contains_key(zone) {
         return error(404, "no such zone");
     }
-    let answer = core.ask(Ask::Evacuate { zone: zone.to_owned(), begun }).await;
-    if let Told::Taken(its) = answer {
+    let answer = core.ask(ApiRequest::Evacuate { zone: zone.to_owned(), starts: begun }).await;
+    if let ApiResponse::EvacuationDone(its) = answer {
         mark.set(its);
     }
     told(answer)
@@ -228,8 +228,8 @@
 }
 
 fn resolve(core: &Rc<Core>, rest: &str) -> Answer {
-    let fronts = core.marker().fronts(now()).unwrap_or_default();
-    let ready = fronts.iter().map(|(zone, front)| (zone.as_str(), *front));
+    let fronts = core.marker().live_frontends(now()).unwrap_or_default();
+    let ready = fronts.iter().map(|f| (f.zone.as_str(), f.address));
     match directory::resolve(&core.settings, ready, rest) {
         Some(body) => (200, body),
         None => error(503, "no limiter is known"),
--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -5,7 +5,9 @@
 use crate::link::{self, Links};
 use limeway_consensus::{Acceptor, NodeId};
 use limeway_control_plane::messages::{Call, Reply};
-use limeway_control_plane::{Action, Ask, Event, Job, Marker, Start, Token, Told};
+use limeway_control_plane::{
+    Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, StartOptions, WriteId,
+};
 use limeway_quota::Rule;
 use limeway_routing_config::State;
 use limeway_settings::Settings;
@@ -24,22 +26,22 @@
 
 enum Waiting {
     Call(oneshot::Sender<Reply>),
-    Ask(oneshot::Sender<Told>),
+    Ask(oneshot::Sender<ApiResponse>),
 }
 
 /// A write under way, and whether it is on disk in the end.
-type Write = (Job, Pin<Box<dyn Future<Output = bool>>>);
+type Write = (WriteId, Pin<Box<dyn Future<Output = bool>>>);
 
 /// A core machine.
 pub struct Core {
     /// Its settings.
     pub settings: Settings,
-    marker: RefCell<Marker>,
+    marker: RefCell<ControlPlane>,
     disk: Disk,
     writes: (mpsc::Sender<Write>, Cell<Option<mpsc::Receiver<Write>>>),
     links: Links,
-    waiting: RefCell<HashMap<Token, Waiting>>,
-    last: Cell<Token>,
+    waiting: RefCell<HashMap<CallerId, Waiting>>,
+    last: Cell<CallerId>,
     /// When the next tick is wanted.
     wake: Cell<u64>,
     sooner: Notify,
@@ -50,21 +52,21 @@
 impl Core {
     /// A core machine that starts with what was found on its disk.
     pub fn new(settings: Settings, acceptor: Acceptor, state: State, empty: bool, disk: Disk) -> Rc<Self> {
-        let start = Start {
-            me: NodeId::from(settings.ip),
-            boot: clock::draw() | 1,
+        let start = StartOptions {
+            node: NodeId::from(settings.ip),
+            incarnation: clock::draw() | 1,
             ack_timeout: settings.bounds.ack_timeout,
-            counted: settings.counted && settings.data.is_some(),
-            losses: settings.losses,
-            rule: Self::rule(&settings),
-            heartbeat: settings.heartbeat,
+            loss_counted: settings.counted && settings.data.is_some(),
+            tolerated_losses: settings.losses,
+            quota_rule: Self::rule(&settings),
+            server_heartbeat: settings.heartbeat,
             seeds: link::nodes(&settings.seeds),
-            founder: empty && settings.first_start,
+            initial_start: empty && settings.first_start,
             acceptor,
             state,
         };
         let mut actions = Vec::new();
-        let marker = Marker::new(now(), start, &mut actions);
+        let marker = ControlPlane::new(now(), start, &mut actions);
         let (send, writes) = mpsc::channel(WRITES_MOST);
         let core = Rc::new(Core {
             writes: (send, Cell::new(Some(writes))),
@@ -89,7 +91,7 @@
     }
 
     /// What its state machine knows.
-    pub fn marker(&self) -> std::cell::Ref<'_, Marker> {
+    pub fn marker(&self) -> std::cell::Ref<'_, ControlPlane> {
         self.marker.borrow()
     }
 
@@ -99,7 +101,7 @@
         let wake = {
             let mut marker = self.marker.borrow_mut();
             marker.handle(now(), event, &mut actions);
-            marker.wake()
+            marker.next_tick()
         };
         self.perform(actions);
         if wake < self.wake.get() {
@@ -111,7 +113,7 @@
     fn perform(self: &Rc<Self>, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { ticket, to, call, wait } => {
+                Action::Send { request: ticket, to, call, timeout: wait } => {
                     let (core, link) = (self.clone(), self.links.to(to));
                     tokio::task::spawn_local(async move {
                         let reply = link.call(&call, Duration::from_micros(wait)).await.ok();
@@ -123,7 +125,7 @@
                         let _ = tell.send(reply);
                     }
                 }
-                Action::Tell(token, told) => {
+                Action::Respond(token, told) => {
                     if let Some(Waiting::Ask(tell)) = self.waiting.borrow_mut().remove(&token) {
                         let _ = tell.send(told);
                     }
@@ -135,12 +137,12 @@
                         log::error!("writes under way: {e}");
                     }
                 }
-                Action::End => self.ended.notify_one(),
+                Action::Exit => self.ended.notify_one(),
             }
         }
     }
 
-    fn wait(&self, waiting: Waiting) -> Option<Token> {
+    fn wait(&self, waiting: Waiting) -> Option<CallerId> {
         let mut all = self.waiting.borrow_mut();
         if all.len() >= WAITING_MOST {
             return None;
@@ -153,17 +155,17 @@
     /// Answers a call of another process.
     pub async fn answer(self: Rc<Self>, call: Call) -> Reply {
         let (tell, told) = oneshot::channel();
-        let Some(token) = self.wait(Waiting::Call(tell)) else { return Reply::Not };
+        let Some(token) = self.wait(Waiting::Call(tell)) else { return Reply::Declined };
         self.tell(Event::Call(token, call));
-        told.await.unwrap_or(Reply::Not)
+        told.await.unwrap_or(Reply::Declined)
     }
 
     /// Answers a server or an operator.
-    pub async fn ask(self: &Rc<Self>, ask: Ask) -> Told {
+    pub async fn ask(self: &Rc<Self>, ask: ApiRequest) -> ApiResponse {
         let (tell, told) = oneshot::channel();
-        let Some(token) = self.wait(Waiting::Ask(tell)) else { return Told::Unclear };
-        self.tell(Event::Ask(token, ask));
-        told.await.unwrap_or(Told::Unclear)
+        let Some(token) = self.wait(Waiting::Ask(tell)) else { return ApiResponse::Indeterminate };
+        self.tell(Event::ApiCall(token, ask));
+        told.await.unwrap_or(ApiResponse::Indeterminate)
     }
 
     /// Tells the state machine of time and of writes, for ever.
@@ -174,11 +176,11 @@
         tokio::task::spawn_local(async move {
             while let Some((job, written)) = writes.recv().await {
                 let done = written.await;
-                core.tell(Event::Written(job, done));
+                core.tell(Event::WriteCompleted(job, done));
             }
         });
         loop {
-            let wake = self.marker.borrow().wake();
+            let wake = self.marker.borrow().next_tick();
             self.wake.set(wake);
             let left = Duration::from_micros(wake.saturating_sub(now()));
             tokio::select! {
--- a/crates/balancer/src/edge.rs
+++ b/crates/balancer/src/edge.rs
@@ -221,14 +221,14 @@
         let wait = if self.leaving.get() || !self.ready() { HOLD / 4 } else { HOLD };
         let poll = self.follower.borrow_mut().poll(asked, &self.board.borrow(), self.presence(), wait);
         let (want, link) = (poll.request, self.links.to(above));
-        let call = Call::Poll(Box::new(poll));
+        let call = Call::LongPoll(Box::new(poll));
         let answer = tokio::select! {
             answer = link.call_patient(&call, Duration::from_micros(HOLD) + ANSWER, FEED_MOST) => answer,
             // It leaves: that is told at once.
             () = self.hurry.notified() => return,
         };
         match answer {
-            Ok(Reply::Feed(feed)) => {
+            Ok(Reply::Update(feed)) => {
                 self.take(|t, follower, board| {
                     follower.handle_response(t, asked, &want, above, *feed, board)
                 });
@@ -240,7 +240,7 @@
     async fn fetch(&self, from: NodeId, want: StateRequest) {
         let link = self.links.to(from);
         match link.call_patient(&Call::Fetch(want), Duration::from_micros(HOLD) + ANSWER, FEED_MOST).await {
-            Ok(Reply::Steps(steps)) => {
+            Ok(Reply::StateUpdate(steps)) => {
                 self.take(|t, follower, board| follower.handle_fetched(t, &want, steps, board));
             }
             other => self.failed(from, other.err()),
@@ -407,10 +407,10 @@
     /// Answers a call of another process: this limiter relays.
     pub async fn answer(self: Rc<Self>, call: Call) -> Reply {
         let poll = match call {
-            Call::Poll(poll) => *poll,
-            Call::Unit(tenant) => return self.lend(&tenant),
-            Call::Fetch(want) => return Reply::Steps(self.board.borrow().state_update(&want)),
-            _ => return Reply::Not,
+            Call::LongPoll(poll) => *poll,
+            Call::BorrowUnit(tenant) => return self.lend(&tenant),
+            Call::Fetch(want) => return Reply::StateUpdate(self.board.borrow().state_update(&want)),
+            _ => return Reply::Declined,
         };
         let t = now();
         if self.follower.borrow_mut().observe_downstream(t, &poll) {
@@ -426,6 +426,6 @@
             let _ = timeout(Duration::from_micros(left), notified).await;
         }
         let end = now();
-        Reply::Feed(Box::new(self.board.borrow().respond(end, &poll, end - t)))
+        Reply::Update(Box::new(self.board.borrow().respond(end, &poll, end - t)))
     }
 }
--- a/crates/balancer/src/edge/quotas.rs
+++ b/crates/balancer/src/edge/quotas.rs
@@ -60,7 +60,7 @@
         // The count may be regions away: a neighbour that holds units is asked first.
         if self.far.get() > FAR {
             for neighbour in self.neighbours(group) {
-                let call = Call::Unit(tenant.to_owned());
+                let call = Call::BorrowUnit(tenant.to_owned());
                 if let Ok(Reply::Done) = self.links.to(neighbour).call(&call, NEIGHBOUR_WAIT).await {
                     return Ok(());
                 }
@@ -105,7 +105,7 @@
         let holder = self.holder(group);
         match span {
             Some(span) if self.desk.borrow_mut().lend(now(), tenant, group, holder, span) => Reply::Done,
-            _ => Reply::Not,
+            _ => Reply::Declined,
         }
     }
 
@@ -138,9 +138,9 @@
 
     /// Runs an errand to a holder, and uses what comes of it.
     async fn run(self: Rc<Self>, errand: Errand) {
-        let call = Call::Ask(self.me, errand.requests.clone());
+        let call = Call::LeaseQuota(self.me, errand.requests.clone());
         let outcome = match self.links.to(errand.node).call(&call, COUNT_WAIT).await {
-            Ok(Reply::Grants(answers)) => Outcome::Answers(answers),
+            Ok(Reply::QuotaGrants(answers)) => Outcome::Answers(answers),
             Ok(_) => Outcome::NotAgreed,
             Err(LinkError::Broken) => Outcome::Unreachable,
             Err(LinkError::Late | LinkError::Busy) => Outcome::Silent,
--- a/crates/balancer/src/service.rs
+++ b/crates/balancer/src/service.rs
@@ -131,12 +131,12 @@
     log::info!(slot = core.marker().state().slot, empty; "core machine starts");
     let told = core.clone();
     tokio::task::spawn_local(watch_file(reload, move |settings| {
-        told.tell(Event::Seeds(link::nodes(&settings.seeds)))
+        told.tell(Event::SeedsChanged(link::nodes(&settings.seeds)))
     }));
     tokio::task::spawn_local(core.clone().run());
     terminate.recv().await;
     // Calls under way end meanwhile, and a seat passes on; what was acknowledged is on disk.
-    core.tell(Event::Leave);
+    core.tell(Event::Shutdown);
     core.ended.notified().await;
     Ok(())
 }
--- a/crates/balancer/tests/links.rs
+++ b/crates/balancer/tests/links.rs
@@ -33,7 +33,7 @@
 }
 
 fn unit(name: &str) -> Call {
-    Call::Unit(name.to_owned())
+    Call::BorrowUnit(name.to_owned())
 }
 
 /// The other end of a connection, by hand.
@@ -77,7 +77,7 @@
             async move {
                 match call {
                     Call::Fetch(_) => std::future::pending().await,
-                    Call::Unit(name) if name == "held" => go.notified().await,
+                    Call::BorrowUnit(name) if name == "held" => go.notified().await,
                     _ => {}
                 }
                 Reply::Done
@@ -113,9 +113,9 @@
         // Answers on each connection reach the calls of that one. A number of the other means nothing there.
         let done = old.answer(number, &Reply::Done);
         new.stream.write_all(&done).await.expect("written");
-        let not = new.answer(third_number, &Reply::Not);
+        let not = new.answer(third_number, &Reply::Declined);
         new.stream.write_all(&not).await.expect("written");
-        assert!(matches!(third.await.expect("runs"), Ok(Reply::Not)));
+        assert!(matches!(third.await.expect("runs"), Ok(Reply::Declined)));
         assert!(!first.is_finished());
         old.stream.write_all(&done).await.expect("written");
         assert!(matches!(first.await.expect("runs"), Ok(Reply::Done)));
--- /dev/null
+++ b/crates/control/control-plane/src/agreement.rs
@@ -0,0 +1,249 @@
+//! Agreement on the next slot: this replica's acceptor, and the proposal that it has under way.
+
+use crate::api::{Action, CallerId};
+use crate::control_plane::{ControlPlane, SentRequest};
+use crate::messages::{Call, Reply};
+use crate::persistence::AfterWrite;
+use limeway_consensus::{AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot};
+use limeway_types::{Micros, Timestamp};
+use serde_bytes::ByteBuf;
+
+/// How long replies of acceptors are waited for.
+pub(crate) const ACCEPTOR_TIMEOUT: Micros = 450_000;
+/// Two proposers that preempt each other back off at random: at least this long,
+const MIN_BACKOFF: Micros = 4_000;
+/// and this much more at most, doubled with each loss in a row.
+const BACKOFF_SPREAD: Micros = 24_000;
+/// Losses in a row that lengthen the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// How long another replica's proposal that this one has voted for may go on without a further message: a round trip on the longest
+/// links, and the writes of others.
+const YIELD_TIMEOUT: Micros = 250_000;
+
+/// One phase of a proposal under way.
+#[derive(Debug)]
+struct Ballot {
+    /// Names the phase: replies to an earlier one count no more.
+    number: u64,
+    proposer: Proposer,
+    /// The value that is to be accepted, in phase 2.
+    accepting: Option<ByteBuf>,
+    deadline: Timestamp,
+    /// Replies that may still come.
+    outstanding: usize,
+}
+
+/// The proposals of this replica.
+#[derive(Debug, Default)]
+pub(crate) struct Agreement {
+    ballot: Option<Ballot>,
+    last_ballot: u64,
+    /// The highest round that preempted this replica.
+    highest_round: u64,
+    backoff_until: Timestamp,
+    /// Until when another replica's proposal on this slot may go on: preempting one that is merely slow would end both.
+    yields_until: Timestamp,
+    losses: u32,
+}
+
+impl Agreement {
+    /// When a proposal expires, or the next one may begin if one is wanted.
+    pub fn next_tick(&self, now: Timestamp, wanted: bool) -> Option<Timestamp> {
+        let free_from = self.backoff_until.max(self.yields_until);
+        let expires = self.ballot.as_ref().map(|ballot| ballot.deadline);
+        expires.or((wanted && free_from > now).then_some(free_from))
+    }
+
+    /// Whether a proposal may be begun.
+    pub fn is_free(&self, now: Timestamp) -> bool {
+        self.ballot.is_none() && now >= self.backoff_until.max(self.yields_until)
+    }
+
+    /// The slot of other replicas' proposals is decided; so is that of an own one that is not for a later slot.
+    pub fn slot_decided(&mut self, applied: Slot) {
+        self.yields_until = 0;
+        if self.ballot.as_ref().is_some_and(|ballot| ballot.proposer.slot <= applied) {
+            self.ballot = None;
+        }
+    }
+}
+
+impl ControlPlane {
+    pub(crate) fn handle_prepare(&mut self, caller: CallerId, slot: Slot, number: ProposalNumber) {
+        let reply = self.vote(slot, |acceptor| acceptor.prepare(slot, number));
+        self.reply_as_acceptor(caller, number, reply);
+    }
+
+    pub(crate) fn handle_accept(
+        &mut self,
+        caller: CallerId,
+        slot: Slot,
+        number: ProposalNumber,
+        value: ByteBuf,
+    ) {
+        let reply = self.vote(slot, |acceptor| acceptor.accept(slot, number, value));
+        self.reply_as_acceptor(caller, number, reply);
+    }
+
+    /// The acceptor's reply. It abstains on the open slot if this replica is no voter, or could not keep its promise.
+    fn vote(
+        &mut self,
+        slot: Slot,
+        ask: impl FnOnce(&mut limeway_consensus::Acceptor) -> AcceptorReply,
+    ) -> AcceptorReply {
+        let is_open = slot == self.acceptor.applied + 1;
+        if is_open && (self.own_voter().is_none() || !self.persistence.is_healthy(self.now)) {
+            return AcceptorReply::Abstained;
+        }
+        ask(&mut self.acceptor)
+    }
+
+    /// Replies to a proposer; a vote only once it is on disk.
+    fn reply_as_acceptor(&mut self, caller: CallerId, number: ProposalNumber, reply: AcceptorReply) {
+        if is_vote(&reply) {
+            self.agreement.yields_until = self.now + YIELD_TIMEOUT;
+            return self.persist(vec![AfterWrite::Reply(caller, reply)]);
+        }
+        if let AcceptorReply::Behind(_) = reply {
+            self.fetch(number.proposer);
+        }
+        self.actions.push(Action::Reply(caller, Reply::Acceptor(reply)));
+    }
+
+    /// Proposes a value for the next slot.
+    pub(crate) fn propose(&mut self, value: ByteBuf) {
+        let slot = self.acceptor.applied + 1;
+        let round = self.acceptor.slot_state.promised.round.max(self.agreement.highest_round) + 1;
+        let proposer = self.options.node;
+        let number = ProposalNumber { round, proposer, incarnation: self.options.incarnation };
+        let proposer = Proposer::new(slot, number, self.voters().to_vec(), value);
+        let deadline = self.now + ACCEPTOR_TIMEOUT;
+        self.agreement.last_ballot += 1;
+        let ballot = self.agreement.last_ballot;
+        self.agreement.ballot =
+            Some(Ballot { number: ballot, proposer, accepting: None, deadline, outstanding: 0 });
+        self.call_acceptors(ballot, &Call::Prepare(slot, number));
+        self.vote_for_own(ballot, |acceptor| acceptor.prepare(slot, number));
+    }
+
+    /// Phase 2: has a value accepted.
+    fn propose_accept(&mut self, slot: Slot, number: ProposalNumber, value: ByteBuf) {
+        // Replies that are still to come to phase 1 count no more.
+        self.agreement.last_ballot += 1;
+        let ballot = self.agreement.last_ballot;
+        if let Some(current) = &mut self.agreement.ballot {
+            current.number = ballot;
+            current.accepting = Some(value.clone());
+        }
+        self.call_acceptors(ballot, &Call::Accept(slot, number, value.clone()));
+        self.vote_for_own(ballot, |acceptor| acceptor.accept(slot, number, value));
+    }
+
+    /// Calls the acceptors of all other voters, before the own disk is waited for.
+    fn call_acceptors(&mut self, ballot: u64, call: &Call) {
+        let own = self.options.node;
+        let nodes = self.voters().iter().map(|voter| voter.node).filter(|node| *node != own);
+        let nodes: Vec<NodeId> = nodes.collect();
+        let outstanding = nodes.len() + usize::from(self.own_voter().is_some());
+        for node in nodes {
+            self.send(node, call.clone(), ACCEPTOR_TIMEOUT, SentRequest::Ballot(ballot, node));
+        }
+        if let Some(current) = &mut self.agreement.ballot {
+            (current.deadline, current.outstanding) = (self.now + ACCEPTOR_TIMEOUT, outstanding);
+        }
+    }
+
+    /// This replica's own vote on its proposal; it counts once it is on disk.
+    fn vote_for_own(
+        &mut self,
+        ballot: u64,
+        ask: impl FnOnce(&mut limeway_consensus::Acceptor) -> AcceptorReply,
+    ) {
+        let Some(slot) = self.agreement.ballot.as_ref().map(|current| current.proposer.slot) else { return };
+        if self.own_voter().is_none() {
+            return;
+        }
+        let reply = self.vote(slot, ask);
+        if is_vote(&reply) {
+            self.persist(vec![AfterWrite::OwnVote(ballot, reply)]);
+        } else {
+            self.handle_vote(ballot, self.options.node, reply);
+            self.vote_settled(ballot);
+        }
+    }
+
+    pub(crate) fn handle_ballot_reply(&mut self, ballot: u64, node: NodeId, reply: Option<Reply>) {
+        if let Some(Reply::Acceptor(reply)) = reply {
+            self.handle_vote(ballot, node, reply);
+        }
+        self.vote_settled(ballot);
+    }
+
+    /// One reply fewer may still come. A proposal that cannot succeed any more is not waited for.
+    pub(crate) fn vote_settled(&mut self, ballot: u64) {
+        let Some(current) = self.agreement.ballot.as_mut().filter(|b| b.number == ballot) else { return };
+        current.outstanding = current.outstanding.saturating_sub(1);
+        if current.outstanding == 0 {
+            self.proposal_lost();
+        }
+    }
+
+    /// Takes an acceptor's reply to a ballot.
+    pub(crate) fn handle_vote(&mut self, ballot: u64, from: NodeId, reply: AcceptorReply) {
+        let Some(current) = self.agreement.ballot.as_mut().filter(|b| b.number == ballot) else { return };
+        let (slot, number) = (current.proposer.slot, current.proposer.number);
+        match current.proposer.handle_reply(from, reply) {
+            ProposerStep::Wait => {}
+            ProposerStep::Accept { value, .. } => self.propose_accept(slot, number, value),
+            ProposerStep::Chosen => {
+                let value = current.accepting.take().unwrap_or_default();
+                self.proposal_chosen(slot, value);
+            }
+            ProposerStep::CatchUp(_) => {
+                self.agreement.ballot = None;
+                self.fetch(from);
+            }
+            ProposerStep::Preempted(other) => self.proposal_preempted(other),
+        }
+    }
+
+    fn proposal_chosen(&mut self, slot: Slot, value: ByteBuf) {
+        self.agreement.ballot = None;
+        (self.agreement.losses, self.agreement.backoff_until) = (0, 0);
+        self.apply_chosen(slot, &value);
+        // Others learn it at once; whoever does not receive it fetches it after its next round.
+        for node in self.other_replicas() {
+            let purpose = SentRequest::Commit(node, slot);
+            self.send(node, Call::Commit(slot, value.clone()), ACCEPTOR_TIMEOUT, purpose);
+        }
+    }
+
+    fn proposal_preempted(&mut self, other: ProposalNumber) {
+        self.agreement.highest_round = self.agreement.highest_round.max(other.round);
+        self.proposal_lost();
+        if other.proposer != self.options.node {
+            // The other proposal goes on; a replica that is no voter hears of it only so.
+            self.agreement.yields_until = self.now + YIELD_TIMEOUT;
+        }
+    }
+
+    /// A proposal came to nothing: backs off.
+    fn proposal_lost(&mut self) {
+        self.agreement.ballot = None;
+        let spread = BACKOFF_SPREAD << self.agreement.losses.min(MAX_BACKOFF_DOUBLINGS);
+        self.agreement.losses += 1;
+        self.agreement.backoff_until = self.now + MIN_BACKOFF + self.random() % spread;
+    }
+
+    /// Gives up a proposal whose replies have timed out.
+    pub(crate) fn expire_ballot(&mut self) {
+        if self.agreement.ballot.as_ref().is_some_and(|ballot| self.now >= ballot.deadline) {
+            self.proposal_lost();
+        }
+    }
+}
+
+/// Whether a reply is a vote, which must not leave before it is on disk.
+fn is_vote(reply: &AcceptorReply) -> bool {
+    matches!(reply, AcceptorReply::Promised { .. } | AcceptorReply::Accepted { .. })
+}
--- /dev/null
+++ b/crates/control/control-plane/src/control_plane.rs
@@ -0,0 +1,346 @@
+//! The replica: its parts, and the dispatch of events to them.
+
+use crate::agreement::Agreement;
+use crate::api::{Action, ApiRequest, CallerId, Event, Frontend, RequestId, StartOptions};
+use crate::instances::ReportReplication;
+use crate::messages::{Call, PeerStatus, Reply};
+use crate::peers::Peer;
+use crate::persistence::Persistence;
+use crate::proposals::Proposals;
+use crate::quorum::Quorum;
+use crate::updates::LongPolls;
+use crate::voters::{VoterChanges, HANDOVER_TIMEOUT, SHUTDOWN_GRACE};
+use limeway_consensus::{Acceptor, Slot, Voter};
+use limeway_distribution::transfer::StateRequest;
+use limeway_distribution::StateCache;
+use limeway_membership::{HeldLeases, Holder, LeaseVoter, MemberHeartbeat, Membership, SHARDS};
+use limeway_quota::count::Count;
+use limeway_routing_config::{RoutingSnapshot, State};
+use limeway_types::{Micros, NodeId, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// Increment of the random number generator (SplitMix64).
+const RANDOM_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// A replica of the control plane.
+#[derive(Debug)]
+pub struct ControlPlane {
+    pub(crate) options: StartOptions,
+    pub(crate) started: Timestamp,
+    /// The time of the last event.
+    pub(crate) now: Timestamp,
+    /// Actions of the event that is being handled.
+    pub(crate) actions: Vec<Action>,
+    /// What this replica knows, and sends to limiters.
+    pub(crate) cache: StateCache,
+    pub(crate) acceptor: Acceptor,
+    pub(crate) routing: Rc<RoutingSnapshot>,
+    pub(crate) membership: Membership,
+    /// Heartbeats of members that renew their lease here; `age` is the time at which they were sent.
+    pub(crate) direct_members: BTreeMap<NodeId, MemberHeartbeat>,
+    pub(crate) lease_voter: LeaseVoter,
+    pub(crate) held_leases: HeldLeases,
+    pub(crate) counters: [Option<Count>; SHARDS],
+    /// Servers whose heartbeats go into the next round.
+    pub(crate) fresh_servers: BTreeSet<String>,
+    pub(crate) peers: BTreeMap<NodeId, Peer>,
+    /// Peers that did not answer the last heartbeat: they are asked for their full registry.
+    pub(crate) unanswered: BTreeSet<NodeId>,
+    pub(crate) quorum: Quorum,
+    pub(crate) agreement: Agreement,
+    pub(crate) proposals: Proposals,
+    pub(crate) voter_changes: VoterChanges,
+    pub(crate) long_polls: LongPolls,
+    pub(crate) persistence: Persistence,
+    pub(crate) report_replications: BTreeMap<u64, ReportReplication>,
+    pub(crate) last_request: RequestId,
+    shutting_down_since: Option<Timestamp>,
+    exited: bool,
+    random_state: u64,
+    sent: BTreeMap<RequestId, SentRequest>,
+}
+
+/// What a request was sent for.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum SentRequest {
+    /// A heartbeat of this round.
+    Heartbeat(u64, NodeId),
+    /// A phase of a proposal: the number of the ballot.
+    Ballot(u64, NodeId),
+    Fetch(NodeId, StateRequest),
+    Commit(NodeId, Slot),
+    ReplicateReport(u64),
+}
+
+impl ControlPlane {
+    /// A replica that starts with what was found on its disk.
+    pub fn new(now: Timestamp, options: StartOptions, actions: &mut Vec<Action>) -> Self {
+        let mut cache = StateCache::new(options.incarnation);
+        cache.state = options.state.clone();
+        if options.initial_start && cache.state.voters.is_empty() {
+            // The same for all at the first start, and never again: what the settings file says later decides nothing.
+            let seeds: BTreeSet<NodeId> = options.seeds.iter().copied().collect();
+            cache.state.voters = seeds.into_iter().map(|node| Voter { node, disk: 0 }).collect();
+        }
+        let routing = cache.state.snapshot_from(&RoutingSnapshot::default()).unwrap_or_default();
+        let mut replica = ControlPlane {
+            started: now,
+            now,
+            actions: Vec::new(),
+            acceptor: options.acceptor.clone(),
+            routing: Rc::new(routing),
+            membership: Membership::default(),
+            direct_members: BTreeMap::new(),
+            lease_voter: LeaseVoter::new(now, !options.initial_start),
+            held_leases: HeldLeases::default(),
+            counters: Default::default(),
+            fresh_servers: BTreeSet::new(),
+            peers: BTreeMap::new(),
+            unanswered: BTreeSet::new(),
+            quorum: Quorum::default(),
+            agreement: Agreement::default(),
+            proposals: Proposals::default(),
+            voter_changes: VoterChanges::new(cache.state.voters.clone()),
+            long_polls: LongPolls::default(),
+            persistence: Persistence::new(cache.state.slot),
+            report_replications: BTreeMap::new(),
+            last_request: 0,
+            shutting_down_since: None,
+            exited: false,
+            random_state: options.incarnation,
+            sent: BTreeMap::new(),
+            cache,
+            options,
+        };
+        replica.voter_changes.was_voter = replica.own_voter().is_some();
+        replica.unanswered.extend(replica.other_replicas());
+        if replica.options.initial_start {
+            replica.persist(Vec::new());
+        }
+        replica.start_round();
+        actions.append(&mut replica.actions);
+        replica
+    }
+
+    /// Handles an event. Its actions are to be performed in their order.
+    pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
+        self.now = now;
+        match event {
+            Event::Call(caller, call) => self.handle_call(caller, call),
+            Event::Reply(request, reply) => self.handle_reply(request, reply),
+            Event::ApiCall(caller, request) => self.handle_api_call(caller, request),
+            Event::WriteCompleted(write, done) => self.write_completed(write, done),
+            Event::ResponseDelivered(call_id) => self.response_delivered(call_id),
+            Event::Tick => {}
+            Event::SeedsChanged(seeds) => self.options.seeds = seeds,
+            Event::Shutdown => self.shut_down(),
+        }
+        self.run_due();
+        actions.append(&mut self.actions);
+    }
+
+    fn handle_call(&mut self, caller: CallerId, call: Call) {
+        let reply = match call {
+            Call::Prepare(slot, number) => return self.handle_prepare(caller, slot, number),
+            Call::Accept(slot, number, value) => return self.handle_accept(caller, slot, number, value),
+            Call::Commit(slot, value) => return self.handle_commit(caller, slot, &value),
+            Call::LongPoll(poll) => return self.handle_long_poll(caller, *poll),
+            Call::Fetch(request) => Reply::StateUpdate(self.cache.state_update(&request)),
+            Call::Heartbeat(heartbeat) => Reply::Heartbeat(self.handle_heartbeat(*heartbeat)),
+            Call::ReplicateReports(reports) => {
+                self.observe_servers(&reports, false);
+                Reply::Done
+            }
+            Call::LeaseQuota(node, requests) => self.lease_quota(node, &requests),
+            Call::BorrowUnit(_) => Reply::Declined,
+        };
+        self.actions.push(Action::Reply(caller, reply));
+    }
+
+    fn handle_reply(&mut self, request: RequestId, reply: Option<Reply>) {
+        match self.sent.remove(&request) {
+            Some(SentRequest::Heartbeat(round, node)) => self.handle_heartbeat_reply(round, node, reply),
+            Some(SentRequest::Ballot(ballot, node)) => self.handle_ballot_reply(ballot, node, reply),
+            Some(SentRequest::Fetch(node, request)) => self.handle_fetched(node, request, reply),
+            Some(SentRequest::Commit(node, slot)) => {
+                if let (Some(Reply::Done), Some(peer)) = (reply, self.peers.get_mut(&node)) {
+                    peer.status.durable_slot = peer.status.durable_slot.max(slot);
+                }
+            }
+            Some(SentRequest::ReplicateReport(replication)) => {
+                self.handle_report_replicated(replication, matches!(reply, Some(Reply::Done)));
+            }
+            // Nothing waits for it any more.
+            None => {}
+        }
+    }
+
+    fn handle_api_call(&mut self, caller: CallerId, request: ApiRequest) {
+        match request {
+            ApiRequest::Heartbeat(report) => self.handle_server_heartbeat(caller, report),
+            ApiRequest::Deregister(id) => self.handle_deregister(caller, &id),
+            ApiRequest::UpdateConfig(update) => self.enqueue_update(caller, update),
+            ApiRequest::Evacuate { zone, starts } => self.enqueue_evacuation(caller, zone, starts),
+            ApiRequest::ReadConfig => self.enqueue_read(caller),
+        }
+    }
+
+    /// Does all that time and what has changed make due.
+    fn run_due(&mut self) {
+        self.run_rounds();
+        self.run_proposals();
+        self.answer_long_polls();
+        self.run_shutdown();
+    }
+
+    fn shut_down(&mut self) {
+        if self.shutting_down_since.is_some() {
+            return;
+        }
+        log::info!("shutting down");
+        self.shutting_down_since = Some(self.now);
+        // What it holds passes on at once, not when the leases expire.
+        self.held_leases.release_all();
+        self.expire_counters();
+        self.lease_voter.release_node(self.options.node);
+        self.start_round();
+    }
+
+    /// Exits once another replica has taken over its vote, or nobody is there to take it.
+    fn run_shutdown(&mut self) {
+        let Some(since) = self.shutting_down_since.filter(|_| !self.exited) else { return };
+        let is_voter = self.own_voter().is_some();
+        let hands_over = is_voter && self.candidate().is_some();
+        let timeout = if hands_over { HANDOVER_TIMEOUT } else { SHUTDOWN_GRACE };
+        if self.now >= since + timeout || (!is_voter && self.now >= since + SHUTDOWN_GRACE) {
+            self.exited = true;
+            self.actions.push(Action::Exit);
+        }
+    }
+
+    /// When the next [`Event::Tick`] is due, at the latest.
+    pub fn next_tick(&self) -> Timestamp {
+        let now = self.now;
+        let shutdown = self.shutting_down_since.map(|since| since + SHUTDOWN_GRACE).filter(|at| *at > now);
+        let requested_round = self.requested_round().map(|at| at.max(now));
+        let ballot = self.agreement.next_tick(now, self.proposals.any_pending());
+        let next_round = self.quorum.next_round;
+        [
+            Some(next_round),
+            shutdown,
+            requested_round,
+            ballot,
+            self.proposals.next_tick(now),
+            self.long_polls.next_tick(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
+        .unwrap_or(next_round)
+    }
+
+    pub(crate) fn send(&mut self, to: NodeId, call: Call, timeout: Micros, purpose: SentRequest) {
+        self.last_request += 1;
+        self.sent.insert(self.last_request, purpose);
+        self.actions.push(Action::Send { request: self.last_request, to, call, timeout });
+    }
+
+    /// A random number.
+    pub(crate) fn random(&mut self) -> u64 {
+        self.random_state = self.random_state.wrapping_add(RANDOM_INCREMENT);
+        limeway_membership::hash(&self.random_state.to_le_bytes())
+    }
+
+    /// The voters of the next slot; none on a replica that knows of no voters yet.
+    pub(crate) fn voters(&self) -> &[Voter] {
+        &self.cache.state.voters
+    }
+
+    pub(crate) fn majority(&self) -> usize {
+        self.voters().len() / 2 + 1
+    }
+
+    /// The voter that this replica would be, with its present disk.
+    fn as_voter(&self) -> Voter {
+        Voter { node: self.options.node, disk: self.acceptor.disk }
+    }
+
+    /// This replica's voter, if it is one.
+    pub(crate) fn own_voter(&self) -> Option<Voter> {
+        let own = self.as_voter();
+        self.voters().contains(&own).then_some(own)
+    }
+
+    /// This replica as a holder of role leases.
+    pub(crate) fn as_holder(&self) -> Holder {
+        Holder { node: self.options.node, incarnation: self.options.incarnation }
+    }
+
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.shutting_down_since.is_some()
+    }
+
+    /// The other replicas that this one talks to: the voters, and candidates that have shown themselves. A new replica that knows of no
+    /// voters begins with the seeds of its settings file.
+    pub(crate) fn other_replicas(&self) -> Vec<NodeId> {
+        let mut others: BTreeSet<NodeId> = self.voters().iter().map(|voter| voter.node).collect();
+        if others.is_empty() {
+            others.extend(&self.options.seeds);
+        }
+        let candidates = self.peers.iter().filter(|(_, peer)| peer.status.loss_counted);
+        others.extend(candidates.map(|(node, _)| *node));
+        others.remove(&self.options.node);
+        others.into_iter().collect()
+    }
+
+    /// How this replica is, for others and for operators.
+    pub fn status(&self, now: Timestamp) -> PeerStatus {
+        PeerStatus {
+            node: self.options.node,
+            disk: self.acceptor.disk,
+            incarnation: self.options.incarnation,
+            loss_counted: self.options.loss_counted,
+            disk_healthy: self.persistence.is_healthy(now),
+            has_quorum: self.has_quorum(now),
+            shutting_down: self.is_shutting_down(),
+            slot: self.cache.state.slot,
+            durable_slot: self.persistence.durable_slot(),
+        }
+    }
+
+    /// The agreed state as this replica knows it.
+    pub fn state(&self) -> &State {
+        &self.cache.state
+    }
+
+    /// The acceptor.
+    pub fn acceptor(&self) -> &Acceptor {
+        &self.acceptor
+    }
+
+    /// What waits here for replies, writes or time, all queues together: bounded, whatever happens.
+    pub fn pending_count(&self) -> usize {
+        self.sent.len()
+            + self.report_replications.len()
+            + self.proposals.pending_count()
+            + self.long_polls.pending_count()
+            + self.persistence.pending_count()
+            + self.quorum.pending_count()
+    }
+
+    /// The shards whose counters are held here at this moment.
+    pub fn held_shards(&self, now: Timestamp) -> Vec<usize> {
+        (0..SHARDS).filter(|shard| self.held_leases.holds(now, *shard)).collect()
+    }
+
+    /// Limiters that can serve clients. None without quorum contact: others know better.
+    pub fn live_frontends(&self, now: Timestamp) -> Option<Vec<Frontend>> {
+        let live = self.membership.live(now).filter(|member| member.ready);
+        let frontend = |member: limeway_membership::LiveMember| Frontend {
+            zone: member.zone.to_owned(),
+            address: member.frontend,
+        };
+        self.has_quorum(now).then(|| live.map(frontend).collect())
+    }
+}
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -1,4 +1,7 @@
-//! What processes of the system say to each other.
+//! Messages between the processes of the system.
+//!
+//! Their encoding is that of earlier builds: `rename` keeps the names of variants and fields, and
+//! `tests/encoding.rs` holds the bytes.
 
 use limeway_consensus::{AcceptorReply, DiskIncarnation, NodeId, ProposalNumber, Slot};
 use limeway_distribution::transfer::StateRequest;
@@ -6,122 +9,135 @@
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
 use limeway_quota::{Answer, Request};
 use limeway_service_registry::ServerReport;
+use limeway_types::ProcessIncarnation;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// A question.
+/// A call to another process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Call {
-    /// A ballot's holder wants a promise.
+    /// Phase 1 of a proposal.
     Prepare(Slot, ProposalNumber),
-    /// A ballot's holder wants a value accepted.
+    /// Phase 2 of a proposal.
     Accept(Slot, ProposalNumber, ByteBuf),
-    /// A value is chosen. Answered with [`Reply::Done`] once it is on disk there, and else with [`Reply::Not`].
-    Chosen(Slot, ByteBuf),
-    /// What leads to the state, or the next piece of it.
+    /// The value of a slot is chosen. Answered with [`Reply::Done`] once it is on disk there, and else with [`Reply::Declined`].
+    #[serde(rename = "Chosen")]
+    Commit(Slot, ByteBuf),
+    /// What leads to the newest state, or the next chunk of it.
     Fetch(StateRequest),
-    /// A core machine's round to the others.
-    Ping(Box<Ping>),
-    /// Servers that are news.
-    Push(Vec<ServerReport>),
-    /// A limiter wants news.
-    Poll(Box<LongPoll>),
-    /// A limiter wants a unit of a tenant for one request that it has now, of what its neighbour holds.
-    Unit(String),
-    /// A limiter wants units.
-    Ask(NodeId, Vec<Request>),
+    /// One replica's heartbeat to another.
+    #[serde(rename = "Ping")]
+    Heartbeat(Box<Heartbeat>),
+    /// Reports of servers that have changed.
+    #[serde(rename = "Push")]
+    ReplicateReports(Vec<ServerReport>),
+    /// A limiter waits for updates.
+    #[serde(rename = "Poll")]
+    LongPoll(Box<LongPoll>),
+    /// A limiter borrows one unit of a tenant's quota, for a request that it has now, of what another limiter holds.
+    #[serde(rename = "Unit")]
+    BorrowUnit(String),
+    /// A limiter leases quota.
+    #[serde(rename = "Ask")]
+    LeaseQuota(NodeId, Vec<Request>),
 }
 
-/// An answer.
+/// The reply to a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Reply {
     /// To [`Call::Prepare`] and [`Call::Accept`].
-    Word(AcceptorReply),
+    #[serde(rename = "Word")]
+    Acceptor(AcceptorReply),
     /// To [`Call::Fetch`].
-    Steps(StateUpdate),
-    /// To [`Call::Ping`].
-    Pong(Pong),
-    /// To [`Call::Poll`].
-    Feed(Box<UpdateResponse>),
-    /// To [`Call::Ask`]; what is not granted here is left out.
-    Grants(Vec<Answer>),
+    #[serde(rename = "Steps")]
+    StateUpdate(StateUpdate),
+    /// To [`Call::Heartbeat`].
+    #[serde(rename = "Pong")]
+    Heartbeat(HeartbeatReply),
+    /// To [`Call::LongPoll`].
+    #[serde(rename = "Feed")]
+    Update(Box<UpdateResponse>),
+    /// To [`Call::LeaseQuota`]; what is not granted here is left out.
+    #[serde(rename = "Grants")]
+    QuotaGrants(Vec<Answer>),
     /// Done.
     Done,
-    /// This process does not serve such calls.
-    Not,
+    /// This process does not do that, or not now.
+    #[serde(rename = "Not")]
+    Declined,
 }
 
-/// How a core machine stands, as it tells the others in its rounds and in its answers to theirs.
+/// How a replica is, as it says in its heartbeats and in its replies to those of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct PeerStatus {
     /// The machine.
     #[serde(rename = "n")]
     pub node: NodeId,
-    /// The life of its disk.
+    /// The incarnation of its disk.
     #[serde(rename = "l")]
-    pub life: DiskIncarnation,
-    /// The life of its process.
+    pub disk: DiskIncarnation,
+    /// The incarnation of its process.
     #[serde(rename = "o")]
-    pub boot: u64,
-    /// It has a disk whose loss counts, and may be given a seat.
+    pub incarnation: ProcessIncarnation,
+    /// It has a disk whose loss counts, and may become a voter.
     #[serde(rename = "c")]
-    pub counted: bool,
+    pub loss_counted: bool,
     /// Its disk takes writes.
     #[serde(rename = "v")]
-    pub sound: bool,
-    /// It has lately had answers from a majority.
+    pub disk_healthy: bool,
+    /// It has quorum contact.
     #[serde(rename = "t")]
-    pub touch: bool,
-    /// It has been told to end.
+    pub has_quorum: bool,
+    /// It is shutting down.
     #[serde(rename = "x")]
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// The last slot that it has applied.
     #[serde(rename = "s")]
     pub slot: Slot,
     /// The last slot that is on its disk.
     #[serde(rename = "k")]
-    pub kept: Slot,
+    pub durable_slot: Slot,
 }
 
-/// A core machine's round: it learns whether its state is the newest, gossips, and claims duties.
+/// A replica's heartbeat: it learns whether its state is the newest, gossips, and requests role leases.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ping {
-    /// How it stands.
+pub struct Heartbeat {
+    /// How it is.
     #[serde(rename = "n")]
-    pub me: Standing,
-    /// Servers heard since the last round that was answered.
+    pub status: PeerStatus,
+    /// Servers heard since the last heartbeat round.
     #[serde(rename = "b")]
-    pub beats: Vec<ServerReport>,
+    pub reports: Vec<ServerReport>,
     /// Members that renew their lease there.
     #[serde(rename = "m")]
     pub members: Vec<MemberHeartbeat>,
-    /// Duties that it holds.
+    /// Role leases that it holds.
     #[serde(rename = "h")]
     pub held: Vec<HeldLease>,
-    /// Duties that it claims.
+    /// Role leases that it requests.
     #[serde(rename = "d")]
-    pub claims: Vec<LeaseRequest>,
-    /// It wants all that is known of servers: it has just started, or was cut off.
+    pub lease_requests: Vec<LeaseRequest>,
+    /// It wants the full service registry: it has just started, or was cut off.
     #[serde(rename = "a")]
-    pub all: bool,
+    pub wants_registry: bool,
 }
 
-/// The answer to a round.
+/// The reply to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Pong {
-    /// How it stands.
+pub struct HeartbeatReply {
+    /// How the replying replica is.
     #[serde(rename = "n")]
-    pub me: Standing,
-    /// A value is accepted there for the slot after the one that it has applied.
+    pub status: PeerStatus,
+    /// It has accepted a value for the slot after the one that it has applied.
     #[serde(rename = "p")]
-    pub pending: bool,
-    /// Duties that it holds.
+    pub has_accepted: bool,
+    /// Role leases that it holds.
     #[serde(rename = "h")]
     pub held: Vec<HeldLease>,
-    /// The groups of duties that it votes for.
+    /// The shards that it votes for.
     #[serde(rename = "d")]
-    pub given: Vec<usize>,
-    /// All that is known of servers, if it was wanted.
+    pub granted: Vec<usize>,
+    /// The full service registry, if it was wanted.
     #[serde(rename = "w")]
     pub servers: Vec<ServerReport>,
 }
--- /dev/null
+++ b/crates/control/control-plane/src/peers.rs
@@ -0,0 +1,97 @@
+//! The other replicas, as they have shown themselves.
+
+use crate::control_plane::ControlPlane;
+use crate::messages::PeerStatus;
+use crate::voters::MAX_VOTERS;
+use limeway_consensus::{NodeId, Voter};
+use limeway_types::{Micros, Timestamp};
+
+/// A peer is alive if its last message is no older than this.
+pub(crate) const PEER_TIMEOUT: Micros = 1_500_000;
+/// A peer that is no voter is forgotten after this.
+const PEER_RETENTION: Micros = 40 * PEER_TIMEOUT;
+/// Upper bound on the number of peers that are remembered.
+const MAX_PEERS: usize = 4 * MAX_VOTERS;
+
+/// Another replica.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Peer {
+    /// Without a gap since then.
+    pub first_seen: Timestamp,
+    pub last_seen: Timestamp,
+    pub status: PeerStatus,
+}
+
+impl Peer {
+    pub fn is_alive(&self, now: Timestamp) -> bool {
+        now < self.last_seen + PEER_TIMEOUT
+    }
+
+    /// The voter that this peer is, or would be.
+    pub fn as_voter(&self) -> Voter {
+        voter_of(&self.status)
+    }
+}
+
+impl ControlPlane {
+    /// Another replica has shown itself.
+    pub(crate) fn observe_peer(&mut self, status: PeerStatus) {
+        let now = self.now;
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&status.node) {
+            return;
+        }
+        let peer = self.peers.entry(status.node).or_insert(Peer { first_seen: now, last_seen: now, status });
+        if now > peer.last_seen + PEER_TIMEOUT || peer.status.disk != status.disk {
+            peer.first_seen = now;
+        }
+        let same_process = peer.status.incarnation == status.incarnation;
+        if same_process && peer.status.durable_slot > status.durable_slot {
+            // A message that was overtaken by a later one.
+            peer.last_seen = now;
+            return;
+        }
+        (peer.last_seen, peer.status) = (now, status);
+        if status.durable_slot >= self.cache.state.slot && !self.voters().contains(&voter_of(&status)) {
+            // A candidate that has caught up.
+            self.voter_changes.review = true;
+        }
+        if status.shutting_down {
+            self.lease_voter.release_node(status.node);
+        }
+        self.forget_peers();
+    }
+
+    fn forget_peers(&mut self) {
+        let (now, own, voters) = (self.now, self.options.node, &self.cache.state.voters);
+        self.peers.retain(|node, peer| {
+            let is_voter = voters.iter().any(|voter| voter.node == *node);
+            *node == own || is_voter || now <= peer.last_seen + PEER_RETENTION
+        });
+        debug_assert!(voters.len() <= MAX_VOTERS);
+    }
+
+    /// Whether a voter is alive with its disk, and has quorum contact itself. A machine that has lost the disk that its voter is of is
+    /// that voter no more.
+    pub(crate) fn is_healthy(&self, voter: &Voter) -> bool {
+        self.peers.get(&voter.node).is_some_and(|peer| {
+            peer.is_alive(self.now)
+                && peer.status.disk == voter.disk
+                && peer.status.has_quorum
+                && peer.status.disk_healthy
+                && !peer.status.shutting_down
+        })
+    }
+
+    /// The peers that a voter has to hear from before it knows again which leases it may have voted for: the voters, and those that
+    /// were voters not long ago.
+    pub(crate) fn possible_holders(&self) -> Vec<NodeId> {
+        let mut nodes: Vec<NodeId> = self.voters().iter().map(|voter| voter.node).collect();
+        nodes.extend(&self.cache.state.former_voters);
+        nodes.retain(|node| *node != self.options.node);
+        nodes
+    }
+}
+
+fn voter_of(status: &PeerStatus) -> Voter {
+    Voter { node: status.node, disk: status.disk }
+}
--- /dev/null
+++ b/crates/control/control-plane/src/persistence.rs
@@ -0,0 +1,184 @@
+//! Persistence: what is on disk, and what waits for it. Nothing that depends on a write leaves this replica before the write is done.
+//!
+//! After a write that failed, memory may hold more than the disk does. Nothing more is promised until a snapshot has been written.
+//! A disk that hangs is no better: while a write takes longer than [`WRITE_TIMEOUT`] this replica says that its disk is unhealthy.
+
+use crate::api::{Action, CallerId, WriteId};
+use crate::control_plane::ControlPlane;
+use crate::messages::Reply;
+use limeway_consensus::{AcceptorReply, LogRecord, Slot};
+use limeway_distribution::encode;
+use limeway_types::{Micros, Timestamp, SECOND};
+use serde_bytes::ByteBuf;
+use std::collections::VecDeque;
+
+/// Upper bound on the writes under way.
+const MAX_WRITES: usize = 64;
+/// A disk whose write takes longer is unhealthy.
+const WRITE_TIMEOUT: Micros = SECOND;
+/// Operations after which a snapshot is written.
+const SNAPSHOT_AFTER_OPERATIONS: usize = 256;
+/// Bytes of operations after which a snapshot is written.
+const SNAPSHOT_AFTER_BYTES: usize = 1024 * 1024;
+
+/// What follows once a write is done.
+#[derive(Debug)]
+pub(crate) enum AfterWrite {
+    /// The acceptor's vote goes to a proposer.
+    Reply(CallerId, AcceptorReply),
+    /// The acceptor's vote counts in this replica's own ballot.
+    OwnVote(u64, AcceptorReply),
+    /// A chosen value is on disk here.
+    Committed(CallerId),
+}
+
+#[derive(Debug)]
+struct PendingWrite {
+    id: WriteId,
+    started: Timestamp,
+    slot: Slot,
+    after: Vec<AfterWrite>,
+}
+
+/// The state of this replica's disk.
+#[derive(Debug)]
+pub(crate) struct Persistence {
+    pending: VecDeque<PendingWrite>,
+    last_write: WriteId,
+    /// Operations applied and not yet handed to the disk, compressed.
+    unwritten: Vec<(Slot, ByteBuf)>,
+    /// Operations handed to the disk since the last snapshot.
+    logged_operations: usize,
+    /// Their bytes.
+    logged_bytes: usize,
+    durable_slot: Slot,
+    failed: bool,
+    needs_snapshot: bool,
+    /// A request for what this replica lacks is under way.
+    pub fetching_until: Option<Timestamp>,
+}
+
+impl Persistence {
+    pub fn new(durable_slot: Slot) -> Self {
+        Persistence {
+            pending: VecDeque::new(),
+            last_write: 0,
+            unwritten: Vec::new(),
+            logged_operations: 0,
+            logged_bytes: 0,
+            durable_slot,
+            failed: false,
+            // The log that was found may have any length.
+            needs_snapshot: true,
+            fetching_until: None,
+        }
+    }
+
+    /// Whether the disk takes writes.
+    pub fn is_healthy(&self, now: Timestamp) -> bool {
+        !self.failed && self.pending.front().is_none_or(|write| now < write.started + WRITE_TIMEOUT)
+    }
+
+    /// The last slot that is on disk.
+    pub fn durable_slot(&self) -> Slot {
+        self.durable_slot
+    }
+
+    pub fn pending_count(&self) -> usize {
+        self.pending.len() + self.unwritten.len()
+    }
+
+    /// Whether the last write failed, and none is under way that may succeed.
+    pub fn should_retry(&self) -> bool {
+        self.failed && self.pending.is_empty()
+    }
+
+    /// Queues an operation for the next write.
+    pub fn append(&mut self, slot: Slot, operation: ByteBuf) {
+        self.unwritten.push((slot, operation));
+    }
+
+    /// The next write brings a snapshot.
+    pub fn require_snapshot(&mut self) {
+        self.unwritten.clear();
+        self.needs_snapshot = true;
+    }
+
+    /// The operations of the next record; none if it brings a snapshot instead.
+    fn take_operations(&mut self) -> Option<Vec<(Slot, Vec<u8>)>> {
+        let operations = std::mem::take(&mut self.unwritten);
+        self.logged_operations += operations.len();
+        self.logged_bytes += operations.iter().map(|(_, operation)| operation.len()).sum::<usize>();
+        let too_long =
+            self.logged_operations > SNAPSHOT_AFTER_OPERATIONS || self.logged_bytes > SNAPSHOT_AFTER_BYTES;
+        if self.needs_snapshot || too_long {
+            (self.logged_operations, self.logged_bytes, self.needs_snapshot) = (0, 0, false);
+            return None;
+        }
+        Some(operations.into_iter().map(|(slot, operation)| (slot, operation.into_vec())).collect())
+    }
+}
+
+impl ControlPlane {
+    /// Writes all that is not on disk; `after` follows.
+    pub(crate) fn persist(&mut self, after: Vec<AfterWrite>) {
+        if self.persistence.pending.len() >= MAX_WRITES {
+            self.persistence.require_snapshot();
+            return self.give_up(after);
+        }
+        let state = &self.cache.state;
+        let (operations, snapshot) = match self.persistence.take_operations() {
+            Some(operations) => (operations, None),
+            None => (Vec::new(), Some((state.slot, encode(state)))),
+        };
+        self.persistence.last_write += 1;
+        let id = self.persistence.last_write;
+        let write = PendingWrite { id, started: self.now, slot: state.slot, after };
+        self.persistence.pending.push_back(write);
+        let record = LogRecord { acceptor: self.acceptor.clone(), operations, snapshot };
+        self.actions.push(Action::Write(id, record));
+    }
+
+    /// A write is done, or failed, and so are all before it.
+    pub(crate) fn write_completed(&mut self, id: WriteId, done: bool) {
+        while self.persistence.pending.front().is_some_and(|write| write.id <= id) {
+            let Some(write) = self.persistence.pending.pop_front() else { return };
+            self.persistence.failed = !done;
+            if done {
+                self.persistence.durable_slot = self.persistence.durable_slot.max(write.slot);
+                self.follow_up(write.after);
+            } else {
+                self.persistence.require_snapshot();
+                self.give_up(write.after);
+            }
+        }
+    }
+
+    fn follow_up(&mut self, after: Vec<AfterWrite>) {
+        for after in after {
+            match after {
+                AfterWrite::Reply(caller, reply) => {
+                    self.actions.push(Action::Reply(caller, Reply::Acceptor(reply)));
+                }
+                AfterWrite::OwnVote(ballot, reply) => {
+                    self.handle_vote(ballot, self.options.node, reply);
+                    self.vote_settled(ballot);
+                }
+                AfterWrite::Committed(caller) => self.actions.push(Action::Reply(caller, Reply::Done)),
+            }
+        }
+    }
+
+    /// What was to follow a write that cannot be made.
+    fn give_up(&mut self, after: Vec<AfterWrite>) {
+        for after in after {
+            match after {
+                AfterWrite::Reply(caller, _) => {
+                    self.actions.push(Action::Reply(caller, Reply::Acceptor(AcceptorReply::Abstained)));
+                }
+                AfterWrite::OwnVote(ballot, _) => self.vote_settled(ballot),
+                AfterWrite::Committed(caller) => self.actions.push(Action::Reply(caller, Reply::Declined)),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-plane/src/proposals.rs
@@ -0,0 +1,255 @@
+//! Requests of operators: each becomes the value of a slot, is rejected for good by a confirmed state, or has no clear answer.
+//!
+//! What a response promises: *done* means that a majority has the update on disk; *version conflict* and *invalid* that it is not in
+//! force and never will be by this call, judged by a state that a majority confirmed after the call came; *indeterminate* nothing.
+
+use crate::api::{Action, ApiResponse, CallerId};
+use crate::control_plane::ControlPlane;
+use limeway_consensus::Slot;
+use limeway_distribution::encode;
+use limeway_routing_config::evacuation::{CallStep, EvacuationCalls};
+use limeway_routing_config::{ConfigUpdate, Operation, Rejection, RoutingSnapshot, State};
+use limeway_types::{Micros, Timestamp};
+use serde_bytes::ByteBuf;
+use std::collections::VecDeque;
+
+/// How long a request is worked on: its caller tries another replica after a second without an answer.
+const REQUEST_TIMEOUT: Micros = 900_000;
+/// The same without quorum contact: the caller is told at once, after one round.
+const NO_QUORUM_TIMEOUT: Micros = 330_000;
+/// Upper bound on the requests under way.
+const MAX_REQUESTS: usize = 64;
+/// Upper bound on the evacuation calls whose responses were delivered, and that are still to be closed.
+const MAX_DELIVERED_CALLS: usize = 64;
+
+#[derive(Debug)]
+enum Request {
+    UpdateConfig(Box<ConfigUpdate>),
+    Evacuate { zone: String, starts: bool, call_id: u64 },
+    ReadConfig,
+}
+
+#[derive(Debug)]
+struct PendingRequest {
+    caller: CallerId,
+    request: Request,
+    received: Timestamp,
+    deadline: Timestamp,
+    /// A like evacuation call is being answered until then.
+    retry_at: Timestamp,
+    /// What the state of this slot makes of the request.
+    admitted: Option<(Slot, Result<Operation, Rejection>)>,
+}
+
+impl PendingRequest {
+    /// Checks an update against the state, once a slot.
+    fn admit(&mut self, state: &State, routing: &RoutingSnapshot) {
+        let Request::UpdateConfig(update) = &self.request else { return };
+        if self.admitted.as_ref().is_none_or(|(slot, _)| *slot != state.slot) {
+            self.admitted = Some((state.slot, state.admit(update, routing)));
+        }
+    }
+
+    fn take_operation(&mut self) -> Option<Operation> {
+        self.admitted.take().and_then(|(_, admitted)| admitted.ok())
+    }
+}
+
+/// What is to be done for a request now.
+enum RequestStep {
+    Respond(ApiResponse),
+    Propose,
+    Wait,
+}
+
+/// The requests under way.
+#[derive(Debug, Default)]
+pub(crate) struct Proposals {
+    pending: VecDeque<PendingRequest>,
+    /// Evacuation calls whose responses are not known to be delivered.
+    evacuation_calls: EvacuationCalls,
+    /// Ids of those whose responses are.
+    delivered_calls: VecDeque<u64>,
+}
+
+impl Proposals {
+    pub fn any_pending(&self) -> bool {
+        !self.pending.is_empty()
+    }
+
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
+    }
+
+    pub fn next_tick(&self, now: Timestamp) -> Option<Timestamp> {
+        let next = |request: &PendingRequest| {
+            let retry_at = if request.retry_at > now { request.retry_at } else { Timestamp::MAX };
+            request.deadline.min(retry_at)
+        };
+        self.pending.iter().map(next).min()
+    }
+
+    /// When the newest request came that a state confirmed at this time is too old for; none if it is new enough for all.
+    pub fn newest_unconfirmed(&self, confirmed_at: Timestamp) -> Option<Timestamp> {
+        self.pending.iter().map(|request| request.received).filter(|at| *at > confirmed_at).max()
+    }
+}
+
+impl ControlPlane {
+    pub(crate) fn enqueue_update(&mut self, caller: CallerId, update: ConfigUpdate) {
+        self.enqueue(caller, Request::UpdateConfig(Box::new(update)));
+    }
+
+    pub(crate) fn enqueue_evacuation(&mut self, caller: CallerId, zone: String, starts: bool) {
+        // Never 0, which stands for a call that is not told from others.
+        let call_id = self.random() | 1;
+        self.enqueue(caller, Request::Evacuate { zone, starts, call_id });
+    }
+
+    pub(crate) fn enqueue_read(&mut self, caller: CallerId) {
+        self.enqueue(caller, Request::ReadConfig);
+    }
+
+    fn enqueue(&mut self, caller: CallerId, request: Request) {
+        if self.proposals.pending.len() >= MAX_REQUESTS || self.is_recovering() {
+            return self.actions.push(Action::Respond(caller, ApiResponse::Indeterminate));
+        }
+        let timeout = if self.has_quorum(self.now) { REQUEST_TIMEOUT } else { NO_QUORUM_TIMEOUT };
+        self.proposals.pending.push_back(PendingRequest {
+            caller,
+            request,
+            received: self.now,
+            deadline: self.now + timeout,
+            retry_at: 0,
+            admitted: None,
+        });
+    }
+
+    /// Answers what can be answered, and begins the next proposal.
+    pub(crate) fn run_proposals(&mut self) {
+        loop {
+            self.propose_internal();
+            let slot = self.cache.state.slot;
+            let Some(operation) = self.answer_requests() else { return };
+            self.propose(ByteBuf::from(encode(&operation)));
+            // A single voter's vote may have been counted at once.
+            if self.cache.state.slot == slot {
+                return;
+            }
+        }
+    }
+
+    /// Proposes what nobody has requested: completing an accepted value, changes of voters and gateways.
+    fn propose_internal(&mut self) {
+        if self.agreement.is_free(self.now) {
+            self.complete_accepted();
+        }
+        if !self.agreement.is_free(self.now) || !std::mem::take(&mut self.voter_changes.review) {
+            return;
+        }
+        let operation = self
+            .next_voter_change()
+            .or_else(|| self.next_call_to_close())
+            .or_else(|| self.next_gateway_change());
+        if let Some(operation) = operation {
+            self.propose(ByteBuf::from(encode(&operation)));
+        }
+    }
+
+    /// Answers requests. Returns the operation to propose for the first that needs one.
+    fn answer_requests(&mut self) -> Option<Operation> {
+        let is_free = self.agreement.is_free(self.now);
+        let mut operation = None;
+        for mut request in std::mem::take(&mut self.proposals.pending) {
+            match self.next_step(&mut request) {
+                RequestStep::Respond(response) => {
+                    if let (Request::UpdateConfig(update), ApiResponse::Done) = (&request.request, &response)
+                    {
+                        log::info!(version = update.version; "configuration committed");
+                    }
+                    self.actions.push(Action::Respond(request.caller, response));
+                    continue;
+                }
+                _ if self.now >= request.deadline => {
+                    self.actions.push(Action::Respond(request.caller, ApiResponse::Indeterminate));
+                    continue;
+                }
+                RequestStep::Propose if is_free && operation.is_none() => {
+                    operation = request.take_operation()
+                }
+                _ => {}
+            }
+            self.proposals.pending.push_back(request);
+        }
+        operation
+    }
+
+    fn next_step(&mut self, pending: &mut PendingRequest) -> RequestStep {
+        if self.is_recovering() {
+            return RequestStep::Wait;
+        }
+        pending.admit(&self.cache.state, &self.routing);
+        // Whether the state is confirmed as of a moment after the call came.
+        let confirmed = self.cache.confirmed_at >= pending.received;
+        match &pending.request {
+            Request::UpdateConfig(update) => self.next_update_step(update, &pending.admitted, confirmed),
+            // A replica that is behind must answer neither of these by an old state.
+            _ if !confirmed => RequestStep::Wait,
+            Request::ReadConfig => RequestStep::Respond(ApiResponse::Document(self.cache.state.document())),
+            Request::Evacuate { zone, starts, call_id } => {
+                let (now, state) = (self.now, &self.cache.state);
+                match self.proposals.evacuation_calls.next_step(now, state, zone, *starts, *call_id) {
+                    CallStep::Done => RequestStep::Respond(ApiResponse::EvacuationDone(*call_id)),
+                    CallStep::Wait(until) => {
+                        pending.retry_at = until;
+                        RequestStep::Wait
+                    }
+                    CallStep::Propose(operation) => {
+                        pending.admitted = Some((state.slot, Ok(operation)));
+                        RequestStep::Propose
+                    }
+                }
+            }
+        }
+    }
+
+    fn next_update_step(
+        &self,
+        update: &ConfigUpdate,
+        admitted: &Option<(Slot, Result<Operation, Rejection>)>,
+        confirmed: bool,
+    ) -> RequestStep {
+        if self.cache.state.has_applied(update) {
+            // It is applied here, so a majority has it on disk.
+            return RequestStep::Respond(ApiResponse::Done);
+        }
+        match admitted {
+            Some((_, Ok(_))) if self.has_quorum(self.now) => RequestStep::Propose,
+            // A replica that is behind must not reject by an old state.
+            Some((_, Err(rejection))) if confirmed => RequestStep::Respond(match rejection {
+                Rejection::VersionConflict(_) => ApiResponse::VersionConflict,
+                Rejection::Invalid(e) => ApiResponse::Invalid(e.clone()),
+                Rejection::Forgotten => ApiResponse::Indeterminate,
+            }),
+            _ => RequestStep::Wait,
+        }
+    }
+
+    /// The response to an evacuation call has reached its caller, who does not retry.
+    pub(crate) fn response_delivered(&mut self, call_id: u64) {
+        if self.proposals.delivered_calls.len() < MAX_DELIVERED_CALLS {
+            self.proposals.delivered_calls.push_back(call_id);
+            self.voter_changes.review = true;
+        }
+    }
+
+    /// An evacuation call that is to be closed.
+    fn next_call_to_close(&mut self) -> Option<Operation> {
+        let state = &self.cache.state;
+        self.proposals.evacuation_calls.observe(self.now, state);
+        self.proposals.delivered_calls.retain(|id| state.applies(&Operation::CloseCall(*id)));
+        let expired = self.proposals.evacuation_calls.expired(self.now, self.options.ack_timeout);
+        let expired = expired.filter(|_| self.is_coordinator());
+        self.proposals.delivered_calls.front().copied().or(expired).map(Operation::CloseCall)
+    }
+}
--- /dev/null
+++ b/crates/control/control-plane/src/quorum.rs
@@ -0,0 +1,368 @@
+//! Heartbeat rounds: whether a majority is in contact, and whether the state here is the newest.
+//!
+//! A round that a majority of the voters has answered gives a slot by which all that was chosen before the round began is applied:
+//! the newest that any of them has applied, and one more if a value is accepted there. Once this replica has applied that slot, its
+//! state is *confirmed* as of the round's beginning (a linearizable read point), however many updates are under way meanwhile.
+
+use crate::control_plane::{ControlPlane, SentRequest};
+use crate::messages::{Call, Heartbeat, HeartbeatReply, Reply};
+use limeway_consensus::{NodeId, Slot, Voter};
+use limeway_distribution::encode;
+use limeway_membership::{Holder, LeaseRequest, MemberHeartbeat, MEMBER_LEASE};
+use limeway_routing_config::Operation;
+use limeway_service_registry::ServerReport;
+use limeway_types::{Micros, Timestamp, SECOND};
+use serde_bytes::ByteBuf;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Quorum contact lasts so long from the beginning of a round that a majority has answered.
+pub const QUORUM_LEASE: Micros = SECOND;
+/// Interval between two rounds.
+const ROUND_INTERVAL: Micros = 250_000;
+/// The interval after the start of a process: the fleet may have ended as a whole, and waits for the control plane.
+const STARTUP_ROUND_INTERVAL: Micros = 60_000;
+/// How long that interval applies.
+const STARTUP: Micros = 3 * SECOND;
+/// A confirmation that this replica has not caught up with is given up after this.
+const CONFIRMATION_TIMEOUT: Micros = 3 * SECOND;
+/// How long replies to a heartbeat are waited for.
+const HEARTBEAT_TIMEOUT: Micros = 300_000;
+/// The least interval between two rounds that callers wait for.
+const MIN_ROUND_INTERVAL: Micros = 10_000;
+/// Upper bound on the rounds under way.
+const MAX_ROUNDS: usize = 8;
+/// A server that missed so many heartbeats is unresponsive,
+const MAX_MISSED_HEARTBEATS: u64 = 3;
+/// with this much time on top, as heartbeats may come late.
+const LATE_HEARTBEAT_MARGIN: Micros = 700_000;
+
+/// A heartbeat round under way.
+#[derive(Debug)]
+struct Round {
+    started: Timestamp,
+    lease_requests: Vec<LeaseRequest>,
+    /// Votes for each shard requested.
+    lease_votes: BTreeMap<usize, usize>,
+    /// Voters that have answered, with a disk that takes writes.
+    voters_heard: usize,
+    /// Whatever may have been chosen before the round is applied by this slot.
+    confirmed_by: Slot,
+    /// The replica that has applied most, and that slot.
+    newest: (Slot, NodeId),
+    /// A value is accepted for the slot after the newest.
+    has_accepted: bool,
+    waiting_for: BTreeSet<NodeId>,
+    concluded: bool,
+}
+
+/// The rounds of this replica.
+#[derive(Debug, Default)]
+pub(crate) struct Quorum {
+    pub next_round: Timestamp,
+    last_round: u64,
+    last_started: Timestamp,
+    rounds: BTreeMap<u64, Round>,
+    /// Rounds that confirm the state once a slot is applied here: when they began, and the slot.
+    unconfirmed: Vec<(Timestamp, Slot)>,
+    /// The slot that had an accepted value at the end of the last round.
+    accepted_slot: Slot,
+    /// That value is to be completed, as its proposer may be gone.
+    complete_accepted: bool,
+}
+
+impl Quorum {
+    pub fn pending_count(&self) -> usize {
+        self.rounds.len() + self.unconfirmed.len()
+    }
+
+    /// The voters have changed. What a majority of the former ones answered says nothing of what the new ones choose.
+    pub fn voters_changed(&mut self) {
+        self.unconfirmed.clear();
+        for round in self.rounds.values_mut() {
+            round.concluded = true;
+            round.lease_votes.clear();
+        }
+    }
+
+    /// Whether a round has begun since, or has and waits for this replica to catch up.
+    fn has_round_since(&self, since: Timestamp) -> bool {
+        self.rounds.values().any(|round| round.started >= since && !round.concluded)
+            || self.unconfirmed.iter().any(|(started, _)| *started >= since)
+    }
+}
+
+impl ControlPlane {
+    /// Whether a majority has answered lately.
+    pub fn has_quorum(&self, now: Timestamp) -> bool {
+        self.cache.confirmed_at > 0 && now < self.cache.confirmed_at + QUORUM_LEASE
+    }
+
+    /// Starts rounds when they are due, or callers wait for one.
+    pub(crate) fn run_rounds(&mut self) {
+        self.expire_ballot();
+        if self.now >= self.quorum.next_round {
+            self.expire();
+            self.start_round();
+        } else if self.requested_round().is_some_and(|at| self.now >= at) {
+            self.start_round();
+        }
+    }
+
+    /// When a round is to start because a caller waits for one, if none is under way for it.
+    pub(crate) fn requested_round(&self) -> Option<Timestamp> {
+        let since = self.proposals.newest_unconfirmed(self.cache.confirmed_at)?;
+        let may_start = !self.quorum.has_round_since(since) && self.quorum.rounds.len() < MAX_ROUNDS;
+        may_start.then_some(self.quorum.last_started + MIN_ROUND_INTERVAL)
+    }
+
+    /// Drops whatever has expired, before each regular round.
+    fn expire(&mut self) {
+        if self.persistence.should_retry() {
+            // Once the disk takes writes again, this replica votes again.
+            self.persist(Vec::new());
+        }
+        let timeout = MAX_MISSED_HEARTBEATS * self.options.server_heartbeat + LATE_HEARTBEAT_MARGIN;
+        self.cache.registry.expire(self.now, timeout);
+        self.membership.expire(self.now);
+        self.expire_counters();
+        self.publish_members();
+        self.voter_changes.review = true;
+        self.long_polls.review_members = true;
+        let now = self.now;
+        self.quorum.unconfirmed.retain(|(started, _)| now < started + CONFIRMATION_TIMEOUT);
+    }
+
+    /// Starts a round: a heartbeat to each other replica.
+    pub(crate) fn start_round(&mut self) {
+        let now = self.now;
+        let starting = now < self.started + STARTUP;
+        self.quorum.next_round = now + if starting { STARTUP_ROUND_INTERVAL } else { ROUND_INTERVAL };
+        self.quorum.last_started = now;
+        let others = self.other_replicas();
+        let lease_requests = self.lease_requests();
+        let held = self.held_leases.held(now);
+        let reports = self.fresh_reports();
+        let members = self.direct_heartbeats();
+        let number = self.open_round(&others, &lease_requests);
+        let status = self.status(now);
+        for node in others {
+            let heartbeat = Heartbeat {
+                status,
+                reports: reports.clone(),
+                members: members.clone(),
+                held: held.clone(),
+                lease_requests: lease_requests.clone(),
+                wants_registry: self.unanswered.contains(&node),
+            };
+            let purpose = SentRequest::Heartbeat(number, node);
+            self.send(node, Call::Heartbeat(Box::new(heartbeat)), HEARTBEAT_TIMEOUT, purpose);
+        }
+        self.conclude_round(number);
+        self.close_round(number);
+    }
+
+    /// Opens a round with this replica's own votes. Returns its number.
+    fn open_round(&mut self, others: &[NodeId], lease_requests: &[LeaseRequest]) -> u64 {
+        let mut lease_votes = BTreeMap::new();
+        for request in lease_requests {
+            if self.lease_voter.vote(self.now, self.options.node, *request) {
+                *lease_votes.entry(request.shard).or_default() += 1;
+            }
+        }
+        let counts = self.own_voter().is_some() && self.persistence.is_healthy(self.now);
+        let has_accepted = counts && self.acceptor.slot_state.accepted.is_some();
+        let slot = self.cache.state.slot;
+        let round = Round {
+            started: self.now,
+            lease_requests: lease_requests.to_vec(),
+            lease_votes,
+            voters_heard: usize::from(counts),
+            confirmed_by: slot + u64::from(has_accepted),
+            newest: (slot, self.options.node),
+            has_accepted,
+            waiting_for: others.iter().copied().collect(),
+            concluded: false,
+        };
+        self.quorum.last_round += 1;
+        self.quorum.rounds.insert(self.quorum.last_round, round);
+        self.quorum.last_round
+    }
+
+    /// Reports of the servers heard since the last round.
+    fn fresh_reports(&mut self) -> Vec<ServerReport> {
+        let ids = std::mem::take(&mut self.fresh_servers);
+        ids.iter().filter_map(|id| self.cache.registry.report(self.now, id)).collect()
+    }
+
+    /// Heartbeats of the members that renew their lease here.
+    fn direct_heartbeats(&mut self) -> Vec<MemberHeartbeat> {
+        let now = self.now;
+        self.direct_members.retain(|_, heartbeat| now.saturating_sub(heartbeat.age) < MEMBER_LEASE);
+        let aged = |heartbeat: &MemberHeartbeat| MemberHeartbeat {
+            age: now.saturating_sub(heartbeat.age),
+            ..heartbeat.clone()
+        };
+        self.direct_members.values().map(aged).collect()
+    }
+
+    /// Answers another replica's heartbeat.
+    pub(crate) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> HeartbeatReply {
+        let sender = heartbeat.status;
+        self.observe_peer(sender);
+        self.observe_servers(&heartbeat.reports, false);
+        let mut members_changed = false;
+        for member in &heartbeat.members {
+            members_changed |= self.membership.observe(self.now, member);
+        }
+        if members_changed {
+            self.publish_members();
+        }
+        let granted = self.vote_for_leases(sender, heartbeat.lease_requests);
+        if sender.slot > self.cache.state.slot {
+            self.fetch(sender.node);
+        }
+        HeartbeatReply {
+            status: self.status(self.now),
+            has_accepted: self.acceptor.slot_state.accepted.is_some(),
+            held: self.held_leases.held(self.now),
+            granted,
+            servers: if heartbeat.wants_registry {
+                self.cache.registry.full_report(self.now)
+            } else {
+                Vec::new()
+            },
+        }
+    }
+
+    pub(crate) fn handle_heartbeat_reply(&mut self, number: u64, node: NodeId, reply: Option<Reply>) {
+        let Some(Reply::Heartbeat(reply)) = reply else {
+            self.unanswered.insert(node);
+            if let Some(round) = self.quorum.rounds.get_mut(&number) {
+                round.waiting_for.remove(&node);
+            }
+            return self.close_round(number);
+        };
+        self.unanswered.remove(&node);
+        self.observe_peer(reply.status);
+        let holder = Holder { node, incarnation: reply.status.incarnation };
+        self.lease_voter.observe_holder(self.now, holder, &reply.held);
+        let possible_holders = self.possible_holders();
+        self.lease_voter.complete_recovery(&possible_holders);
+        self.observe_servers(&reply.servers, false);
+        let slot = reply.status.slot;
+        if !self.count_reply(number, node, &reply) {
+            return;
+        }
+        self.conclude_round(number);
+        self.close_round(number);
+        if slot > self.cache.state.slot {
+            self.fetch(node);
+        }
+    }
+
+    /// Counts a reply in its round. False if the round is over. Replies of replicas that are no voters count for nothing: they may have
+    /// forgotten what they accepted.
+    fn count_reply(&mut self, number: u64, node: NodeId, reply: &HeartbeatReply) -> bool {
+        let is_voter = self.voters().contains(&Voter { node, disk: reply.status.disk });
+        let Some(round) = self.quorum.rounds.get_mut(&number) else { return false };
+        round.waiting_for.remove(&node);
+        if is_voter {
+            round.count(node, reply);
+        }
+        true
+    }
+
+    /// Takes what a majority has answered: whoever does not answer holds nothing up.
+    fn conclude_round(&mut self, number: u64) {
+        let majority = self.majority();
+        let Some(round) = self.quorum.rounds.get_mut(&number) else { return };
+        if round.voters_heard >= majority && !round.concluded {
+            round.concluded = true;
+            self.quorum.unconfirmed.push((round.started, round.confirmed_by));
+        }
+        let won =
+            |request: &&LeaseRequest| round.lease_votes.get(&request.shard).is_some_and(|v| *v >= majority);
+        let won: Vec<LeaseRequest> = round.lease_requests.iter().filter(won).copied().collect();
+        let started = round.started;
+        self.acquire_leases(started, &won);
+        self.confirm();
+    }
+
+    /// Confirms the state by the rounds whose slot is applied now.
+    pub(crate) fn confirm(&mut self) {
+        let slot = self.cache.state.slot;
+        let applied = self.quorum.unconfirmed.iter().filter(|(_, confirmed_by)| *confirmed_by <= slot);
+        let Some(confirmed_at) = applied.map(|(started, _)| *started).max() else { return };
+        self.quorum.unconfirmed.retain(|(started, _)| *started > confirmed_at);
+        if confirmed_at <= self.cache.confirmed_at {
+            return;
+        }
+        let had_quorum = self.has_quorum(self.now);
+        self.cache.confirmed_at = confirmed_at;
+        if !had_quorum && self.has_quorum(self.now) {
+            // Polls that came meanwhile were answered at once; members and servers may have changed.
+            self.long_polls.review_members = true;
+        }
+    }
+
+    /// Ends a round once all have answered or timed out.
+    fn close_round(&mut self, number: u64) {
+        if self.quorum.rounds.get(&number).is_none_or(|round| !round.waiting_for.is_empty()) {
+            return;
+        }
+        let Some(round) = self.quorum.rounds.remove(&number) else { return };
+        self.release_lost_votes(&round);
+        let slot = self.cache.state.slot;
+        let (newest_slot, newest_node) = round.newest;
+        if newest_slot > slot {
+            self.fetch(newest_node);
+        } else if round.concluded && round.has_accepted && newest_slot == slot {
+            // Its proposer may be gone: what is still accepted a round later is completed, whatever it is.
+            self.quorum.complete_accepted = self.quorum.accepted_slot == slot + 1;
+            self.quorum.accepted_slot = slot + 1;
+        } else {
+            self.quorum.accepted_slot = 0;
+        }
+    }
+
+    /// Frees this replica's own votes for requests that came to nothing.
+    fn release_lost_votes(&mut self, round: &Round) {
+        for request in round.lease_requests.iter().filter(|request| !request.renewal) {
+            // Another round under way may count the own vote, and win by it.
+            let counts_it = |r: &Round| r.lease_requests.iter().any(|other| other.shard == request.shard);
+            let held = self.held_leases.holds(self.now, request.shard);
+            if !held && !self.quorum.rounds.values().any(counts_it) {
+                self.lease_voter.release_vote(self.options.node, *request);
+            }
+        }
+    }
+
+    /// Completes a value that was found accepted, or closes its slot with an operation that changes nothing: a proposal without a
+    /// value of its own would leave the accepted one where it is if it finds nothing at a majority, and nobody could confirm
+    /// the state.
+    pub(crate) fn complete_accepted(&mut self) {
+        let due = std::mem::take(&mut self.quorum.complete_accepted);
+        if due && self.quorum.accepted_slot == self.cache.state.slot + 1 {
+            let no_change = Operation::SetGateways { add: Vec::new(), remove: Vec::new() };
+            self.propose(ByteBuf::from(encode(&no_change)));
+        }
+    }
+}
+
+impl Round {
+    fn count(&mut self, node: NodeId, reply: &HeartbeatReply) {
+        let slot = reply.status.slot;
+        if reply.status.disk_healthy {
+            self.voters_heard += 1;
+            for shard in &reply.granted {
+                *self.lease_votes.entry(*shard).or_default() += 1;
+            }
+        }
+        self.confirmed_by = self.confirmed_by.max(slot + u64::from(reply.has_accepted));
+        if slot > self.newest.0 {
+            (self.newest, self.has_accepted) = ((slot, node), reply.has_accepted);
+        } else if slot == self.newest.0 {
+            self.has_accepted |= reply.has_accepted;
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-plane/src/quota.rs
@@ -0,0 +1,56 @@
+//! The authoritative counters of the shards held here, and what is leased of them.
+
+use crate::control_plane::ControlPlane;
+use crate::messages::Reply;
+use limeway_consensus::NodeId;
+use limeway_membership::{shard_of, ROLE_LEASE, SHARDS};
+use limeway_quota::count::Count;
+use limeway_quota::Request;
+
+impl ControlPlane {
+    /// Starts the counter of a shard that is newly held. It begins a whole window after the last lease, which expired at the latest when
+    /// this one began, or before this process started. So does the very first one: the first holder cannot be told from one that has
+    /// just come back.
+    pub(crate) fn start_counter(&mut self, shard: usize) {
+        let window = self.options.quota_rule.length();
+        let starting = self.now < self.started + ROLE_LEASE;
+        let begins = if starting { self.now.max(self.started + window) } else { self.now + window };
+        let counter_incarnation = self.options.incarnation ^ self.now.rotate_left(32);
+        let gateways = &self.cache.state.gateways;
+        self.counters[shard] = Some(Count::new(begins, counter_incarnation, window, gateways, false));
+    }
+
+    /// Drops the counters of shards that are held no more.
+    pub(crate) fn expire_counters(&mut self) {
+        let gateways = self.cache.state.gateways.len();
+        for (shard, slot) in self.counters.iter_mut().enumerate() {
+            if !self.held_leases.holds(self.now, shard) {
+                *slot = None;
+            } else if let Some(counter) = slot {
+                counter.set_doors(gateways);
+                counter.sweep(self.now);
+            }
+        }
+    }
+
+    /// Answers a gateway's requests for quota of the shards held here.
+    pub(crate) fn lease_quota(&mut self, gateway: NodeId, requests: &[Request]) -> Reply {
+        // The next holder of a counter would not ask a gateway that is not agreed on.
+        if !self.cache.state.gateways.contains(&gateway) {
+            return Reply::Declined;
+        }
+        let (now, rule, routing) = (self.now, self.options.quota_rule, self.routing.clone());
+        let mut answers = Vec::new();
+        for request in requests.iter().filter(|request| request.group < SHARDS) {
+            let shard = request.group;
+            let held = self.held_leases.holds(now, shard);
+            let Some(counter) = self.counters[shard].as_mut().filter(|_| held) else { continue };
+            let windows = |name: &str| {
+                let tenant = routing.tenants.get(name).filter(|_| shard_of(name) == shard)?;
+                rule.span(tenant.rate_per_second, tenant.burst_size)
+            };
+            answers.extend(counter.answer(now, now + limeway_quota::BLOCK, gateway, request, windows));
+        }
+        Reply::QuotaGrants(answers)
+    }
+}
--- /dev/null
+++ b/crates/control/control-plane/src/replication.rs
@@ -0,0 +1,96 @@
+//! Replication of the log: applying what was chosen, here or elsewhere, and catching up.
+
+use crate::api::{Action, CallerId};
+use crate::control_plane::{ControlPlane, SentRequest};
+use crate::messages::{Call, Reply};
+use crate::persistence::AfterWrite;
+use limeway_consensus::{NodeId, Slot};
+use limeway_distribution::transfer::StateRequest;
+use limeway_types::Micros;
+
+/// How long another replica may take to send a chunk of what this one lacks.
+const FETCH_TIMEOUT: Micros = 700_000;
+
+impl ControlPlane {
+    /// Applies a value that a proposal of this replica got chosen, if its slot is the next.
+    pub(crate) fn apply_chosen(&mut self, slot: Slot, value: &[u8]) {
+        if self.cache.state.slot + 1 == slot && self.cache.apply_operation(value) {
+            self.log_applied_since(slot - 1);
+            self.state_advanced(Vec::new());
+        }
+    }
+
+    /// Another replica says that a value is chosen. Acknowledged once it is on disk here.
+    pub(crate) fn handle_commit(&mut self, caller: CallerId, slot: Slot, value: &[u8]) {
+        let next = self.cache.state.slot + 1;
+        if slot > next || self.cache.state.voters.is_empty() {
+            // The call does not say who sent it; the next round finds out what is missing.
+            return self.actions.push(Action::Reply(caller, Reply::Declined));
+        }
+        if slot == next {
+            if !self.cache.apply_operation(value) {
+                return self.actions.push(Action::Reply(caller, Reply::Declined));
+            }
+            self.log_applied_since(slot - 1);
+            return self.state_advanced(vec![AfterWrite::Committed(caller)]);
+        }
+        let durable = self.persistence.durable_slot() >= slot;
+        self.actions.push(Action::Reply(caller, if durable { Reply::Done } else { Reply::Declined }));
+    }
+
+    /// Has another replica send what this one lacks, one request at a time.
+    pub(crate) fn fetch(&mut self, from: NodeId) {
+        let fetching = self.persistence.fetching_until.is_some_and(|until| self.now < until);
+        if from == self.options.node || fetching {
+            return;
+        }
+        let request = self.cache.state_request();
+        self.persistence.fetching_until = Some(self.now + FETCH_TIMEOUT);
+        self.send(from, Call::Fetch(request), FETCH_TIMEOUT, SentRequest::Fetch(from, request));
+    }
+
+    pub(crate) fn handle_fetched(&mut self, from: NodeId, request: StateRequest, reply: Option<Reply>) {
+        self.persistence.fetching_until = None;
+        let Some(Reply::StateUpdate(update)) = reply else {
+            log::debug!(from; "replica sent no state update");
+            return;
+        };
+        let before = self.cache.state.slot;
+        if self.cache.apply_update(request.slot, update) {
+            self.log_applied_since(before);
+            self.state_advanced(Vec::new());
+        }
+        if self.cache.state_request() != request {
+            // There may be more.
+            self.fetch(from);
+        }
+    }
+
+    /// Queues what was applied after a slot for the log on disk: the operations, or a snapshot if they are not known.
+    fn log_applied_since(&mut self, slot: Slot) {
+        match self.cache.compressed_after(slot) {
+            Some(operations) => {
+                (slot + 1..)
+                    .zip(operations)
+                    .for_each(|(at, operation)| self.persistence.append(at, operation));
+            }
+            None => self.persistence.require_snapshot(),
+        }
+    }
+
+    /// Does what follows from a new state.
+    fn state_advanced(&mut self, after_write: Vec<AfterWrite>) {
+        self.acceptor.advance(self.cache.state.slot);
+        self.agreement.slot_decided(self.acceptor.applied);
+        self.voters_may_have_changed();
+        if self.routing.version != self.cache.state.version {
+            match self.cache.state.snapshot_from(&self.routing) {
+                Ok(snapshot) => self.routing = snapshot.into(),
+                Err(e) => log::error!("the configuration in force is invalid: {e}"),
+            }
+        }
+        self.long_polls.update_available = true;
+        self.confirm();
+        self.persist(after_write);
+    }
+}
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -3,7 +3,7 @@
 //! `data/encodings.txt` holds a line per value: its name and its CBOR in hexadecimal, written by landing 14.
 
 use limeway_consensus::{AcceptorReply, ProposalNumber, SlotState, Voter};
-use limeway_control_plane::messages::{Call, Ping, Pong, Reply, Standing};
+use limeway_control_plane::messages::{Call, Heartbeat, HeartbeatReply, PeerStatus, Reply};
 use limeway_distribution::transfer::{Chunk, Received, StateRequest, TransferId};
 use limeway_distribution::{decode, encode, LongPoll, StateUpdate, UpdateResponse};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
@@ -46,17 +46,17 @@
     ProposalNumber { round, proposer: 3, incarnation: 77 }
 }
 
-fn standing() -> Standing {
-    Standing {
+fn standing() -> PeerStatus {
+    PeerStatus {
         node: 1,
-        life: 9,
-        boot: 5,
-        counted: true,
-        sound: true,
-        touch: false,
-        leaving: false,
+        disk: 9,
+        incarnation: 5,
+        loss_counted: true,
+        disk_healthy: true,
+        has_quorum: false,
+        shutting_down: false,
         slot: 12,
-        kept: 11,
+        durable_slot: 11,
     }
 }
 
@@ -133,13 +133,13 @@
 
 #[rstest]
 fn calls_keep_their_encoding() {
-    let ping = Ping {
-        me: standing(),
-        beats: vec![report(Phase::Ready)],
+    let ping = Heartbeat {
+        status: standing(),
+        reports: vec![report(Phase::Ready)],
         members: vec![presence()],
         held: vec![HeldLease { shard: 3, remaining: 7_000_000 }],
-        claims: vec![LeaseRequest { shard: 4, incarnation: 5, renewal: true }],
-        all: true,
+        lease_requests: vec![LeaseRequest { shard: 4, incarnation: 5, renewal: true }],
+        wants_registry: true,
     };
     let poll = LongPoll {
         sender: presence(),
@@ -152,23 +152,23 @@
     };
     check("call-prepare", &Call::Prepare(13, ballot(4)));
     check("call-accept", &Call::Accept(13, ballot(4), ByteBuf::from(vec![9, 8])));
-    check("call-chosen", &Call::Chosen(13, ByteBuf::from(vec![9, 8])));
+    check("call-chosen", &Call::Commit(13, ByteBuf::from(vec![9, 8])));
     check("call-fetch", &Call::Fetch(want()));
-    check("call-ping", &Call::Ping(Box::new(ping)));
-    check("call-push", &Call::Push(vec![report(Phase::Draining), report(Phase::Gone)]));
-    check("call-poll", &Call::Poll(Box::new(poll)));
-    check("call-unit", &Call::Unit("t-1".into()));
-    check("call-ask", &Call::Ask(20, vec![request()]));
+    check("call-ping", &Call::Heartbeat(Box::new(ping)));
+    check("call-push", &Call::ReplicateReports(vec![report(Phase::Draining), report(Phase::Gone)]));
+    check("call-poll", &Call::LongPoll(Box::new(poll)));
+    check("call-unit", &Call::BorrowUnit("t-1".into()));
+    check("call-ask", &Call::LeaseQuota(20, vec![request()]));
 }
 
 #[rstest]
 fn replies_keep_their_encoding() {
     let accepted = Some((ballot(2), ByteBuf::from(vec![9, 8])));
-    let pong = Pong {
-        me: standing(),
-        pending: true,
+    let pong = HeartbeatReply {
+        status: standing(),
+        has_accepted: true,
         held: vec![HeldLease { shard: 3, remaining: 7_000_000 }],
-        given: vec![4, 5],
+        granted: vec![4, 5],
         servers: vec![report(Phase::Ready)],
     };
     let feed = |steps: StateUpdate, members| UpdateResponse {
@@ -184,26 +184,26 @@
         members_revision: 7,
         members,
     };
-    check("reply-promise", &Reply::Word(AcceptorReply::Promised { disk: 9, accepted }));
-    check("reply-accepted", &Reply::Word(AcceptorReply::Accepted { disk: 9 }));
-    check("reply-higher", &Reply::Word(AcceptorReply::Rejected(ballot(6))));
-    check("reply-decided", &Reply::Word(AcceptorReply::Decided(13)));
-    check("reply-behind", &Reply::Word(AcceptorReply::Behind(11)));
-    check("reply-abstains", &Reply::Word(AcceptorReply::Abstained));
-    check("reply-steps-ops", &Reply::Steps(StateUpdate::Operations(vec![ByteBuf::from(vec![0, 1])])));
-    check("reply-steps-part", &Reply::Steps(StateUpdate::Chunk(part())));
-    check("reply-pong", &Reply::Pong(pong));
+    check("reply-promise", &Reply::Acceptor(AcceptorReply::Promised { disk: 9, accepted }));
+    check("reply-accepted", &Reply::Acceptor(AcceptorReply::Accepted { disk: 9 }));
+    check("reply-higher", &Reply::Acceptor(AcceptorReply::Rejected(ballot(6))));
+    check("reply-decided", &Reply::Acceptor(AcceptorReply::Decided(13)));
+    check("reply-behind", &Reply::Acceptor(AcceptorReply::Behind(11)));
+    check("reply-abstains", &Reply::Acceptor(AcceptorReply::Abstained));
+    check("reply-steps-ops", &Reply::StateUpdate(StateUpdate::Operations(vec![ByteBuf::from(vec![0, 1])])));
+    check("reply-steps-part", &Reply::StateUpdate(StateUpdate::Chunk(part())));
+    check("reply-pong", &Reply::Heartbeat(pong));
     check(
         "reply-feed",
-        &Reply::Feed(Box::new(feed(
+        &Reply::Update(Box::new(feed(
             StateUpdate::FetchFromCore(64),
             Some(vec![(20, "north-a".to_owned()).into()]),
         ))),
     );
-    check("reply-feed-ops", &Reply::Feed(Box::new(feed(StateUpdate::Operations(Vec::new()), None))));
-    check("reply-grants", &Reply::Grants(vec![answer()]));
+    check("reply-feed-ops", &Reply::Update(Box::new(feed(StateUpdate::Operations(Vec::new()), None))));
+    check("reply-grants", &Reply::QuotaGrants(vec![answer()]));
     check("reply-done", &Reply::Done);
-    check("reply-not", &Reply::Not);
+    check("reply-not", &Reply::Declined);
 }
 
 #[rstest]
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -3,7 +3,7 @@
 use crate::chance::Chance;
 use crate::Micros;
 use limeway_consensus::Acceptor;
-use limeway_control_plane::{Job, LogRecord};
+use limeway_control_plane::{LogRecord, WriteId};
 use limeway_routing_config::State;
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
     pub votes: Acceptor,
     /// The state.
     pub state: State,
-    queue: VecDeque<(Job, LogRecord)>,
+    queue: VecDeque<(WriteId, LogRecord)>,
     failed: bool,
     /// It refuses writes.
     pub full: bool,
@@ -39,13 +39,13 @@
     }
 
     /// Takes a record in. True if none was under way: its end is to be waited for.
-    pub fn push(&mut self, job: Job, record: LogRecord) -> bool {
+    pub fn push(&mut self, job: WriteId, record: LogRecord) -> bool {
         self.queue.push_back((job, record));
         self.queue.len() == 1
     }
 
     /// The first record under way ends: its job, and whether it is on disk.
-    pub fn end(&mut self) -> Option<(Job, Result<bool, String>)> {
+    pub fn end(&mut self) -> Option<(WriteId, Result<bool, String>)> {
         let (job, record) = self.queue.pop_front()?;
         if self.full || (self.failed && record.snapshot.is_none()) {
             self.failed = true;
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -122,7 +122,7 @@
         for at in 0..self.machines.len() {
             if self.chance.happens(300) && self.machines[at].frozen <= self.t {
                 let seeds = (0..3).filter_map(|_| self.chance.pick(&live).copied()).collect();
-                self.handle(at, Event::Seeds(seeds));
+                self.handle(at, Event::SeedsChanged(seeds));
             }
         }
     }
--- a/crates/testing/simulation/src/judge.rs
+++ b/crates/testing/simulation/src/judge.rs
@@ -4,7 +4,7 @@
 use crate::world::{Ev, Machine, World};
 use crate::{Micros, Off, SECOND};
 use limeway_consensus::{Slot, Voter};
-use limeway_control_plane::{Ask, Told};
+use limeway_control_plane::{ApiRequest, ApiResponse};
 use limeway_membership::SHARDS;
 use limeway_routing_config::ConfigUpdate;
 use limeway_routing_config::State;
@@ -117,17 +117,17 @@
         let second = t / SECOND;
         process.busy = if process.busy.0 == second { (second, process.busy.1 + 1) } else { (second, 1) };
         if process.busy.1 > EVENTS_MOST {
-            let tick = process.marker.wake() <= now;
+            let tick = process.marker.next_tick() <= now;
             return self.fail(format!(
                 "machine {at} takes more than {EVENTS_MOST} events in a second (wake in the past: {tick})"
             ));
         }
-        if process.marker.queued() > QUEUED_MOST {
-            return self.fail(format!("machine {at} has {} things waiting", process.marker.queued()));
+        if process.marker.pending_count() > QUEUED_MOST {
+            return self.fail(format!("machine {at} has {} things waiting", process.marker.pending_count()));
         }
         let state = process.marker.state();
         let before = self.held.get(&at).map_or(0, |(_, slot)| *slot);
-        let (slot, held) = (state.slot, process.marker.held(now));
+        let (slot, held) = (state.slot, process.marker.held_shards(now));
         if slot < before {
             self.fail(format!("machine {at} goes back from slot {before} to {slot}"));
         }
@@ -140,7 +140,7 @@
         }
         for (other, machine) in machines.iter().enumerate().filter(|(other, _)| *other != at) {
             let Some(process) = &machine.process else { continue };
-            let theirs = process.marker.held(t + machine.offset);
+            let theirs = process.marker.held_shards(t + machine.offset);
             if let Some(group) = held.iter().find(|g| theirs.contains(g)) {
                 self.fail(format!("machines {at} and {other} hold group {group} at one moment"));
             }
@@ -153,11 +153,18 @@
     }
 
     /// A machine answers an operator.
-    pub fn told(&mut self, t: Micros, at: usize, machines: &[Machine], flight: Option<&Flight>, told: &Told) {
+    pub fn told(
+        &mut self,
+        t: Micros,
+        at: usize,
+        machines: &[Machine],
+        flight: Option<&Flight>,
+        told: &ApiResponse,
+    ) {
         let Some(process) = &machines[at].process else { return };
         let (slot, newest) = (process.marker.state().slot, process.marker.state().version);
         match (flight.map(|f| (&f.wanted, f.sent)), told) {
-            (Some((Wanted::Order(order), _)), Told::Done) => {
+            (Some((Wanted::Order(order), _)), ApiResponse::Done) => {
                 if !process.marker.state().has_applied(order) {
                     self.fail(format!("machine {at} acknowledges version {} that it has not", order.version));
                 }
@@ -165,14 +172,14 @@
                 self.acks.push((t, slot, order.version));
                 self.done.push(order.clone());
             }
-            (Some((Wanted::Order(order), _)), Told::Stale | Told::Invalid(_)) => {
+            (Some((Wanted::Order(order), _)), ApiResponse::VersionConflict | ApiResponse::Invalid(_)) => {
                 self.tally[1] += 1;
                 if self.states.values().next_back().is_some_and(|s| s.has_applied(order)) {
                     self.fail(format!("machine {at} refuses version {} that is in force", order.version));
                 }
                 self.refused.push(order.clone());
             }
-            (asked, Told::Document(text)) => {
+            (asked, ApiResponse::Document(text)) => {
                 self.tally[2] += 1;
                 let read = version(text).unwrap_or(0);
                 let due = asked.map_or(0, |(_, sent)| self.acked(sent).1);
@@ -209,7 +216,7 @@
     pub fn account(&self) -> Vec<String> {
         let line = |(at, m): (usize, &Machine)| {
             let standing =
-                m.process.as_ref().map(|p| (p.marker.standing(self.t + m.offset), p.marker.queued()));
+                m.process.as_ref().map(|p| (p.marker.status(self.t + m.offset), p.marker.pending_count()));
             let open = m.process.as_ref().map(|p| &p.marker.acceptor().slot_state);
             let open = open.map(|o| (o.promised, o.accepted.as_ref().map(|(b, _)| b)));
             format!(
@@ -245,7 +252,7 @@
         if t >= self.schedule.heal + READ_BACK && !std::mem::replace(&mut self.judge.asked_back, true) {
             for at in 0..self.machines.len() {
                 if self.machines[at].process.is_some() {
-                    self.push(t, Ev::Ask(at, crate::people::Who::Reader(at), Ask::Read));
+                    self.push(t, Ev::Ask(at, crate::people::Who::Reader(at), ApiRequest::ReadConfig));
                 }
             }
         }
@@ -260,8 +267,9 @@
                     continue;
                 };
                 // One that has just come has its time, too.
-                let young = process.marker.standing(t + machine.offset).slot == 0;
-                let (touch, slot) = (process.marker.touch(t + machine.offset), process.marker.state().slot);
+                let young = process.marker.status(t + machine.offset).slot == 0;
+                let (touch, slot) =
+                    (process.marker.has_quorum(t + machine.offset), process.marker.state().slot);
                 if !young && (!touch || slot < due) {
                     let broken =
                         format!("machine {at} is not up to date: in touch {touch}, slot {slot} of {due}");
@@ -305,14 +313,14 @@
         let t = self.t;
         for (at, machine) in self.machines.iter().enumerate().filter(|(_, m)| m.exists) {
             let Some(process) = &machine.process else { return Some(format!("machine {at} does not run")) };
-            let (touch, slot) = (process.marker.touch(t + machine.offset), process.marker.state().slot);
+            let (touch, slot) = (process.marker.has_quorum(t + machine.offset), process.marker.state().slot);
             if !touch || slot != newest.slot || !self.people.read.contains(&at) {
                 let read = self.people.read.contains(&at);
                 return Some(format!("machine {at} at the end: in touch {touch}, slot {slot}, read {read}"));
             }
         }
         let running = self.machines.iter().filter_map(|m| Some((m.process.as_ref()?, m.offset)));
-        let held: Vec<usize> = running.flat_map(|(p, offset)| p.marker.held(t + offset)).collect();
+        let held: Vec<usize> = running.flat_map(|(p, offset)| p.marker.held_shards(t + offset)).collect();
         if let Some(group) = (0..SHARDS).find(|g| !held.contains(g)) {
             return Some(format!("nobody holds group {group} at the end"));
         }
--- a/crates/testing/simulation/src/off.rs
+++ b/crates/testing/simulation/src/off.rs
@@ -1,7 +1,7 @@
 //! Guards that can be taken away. Nothing is switched in the state machines: what goes in or out of them is tampered with.
 
 use crate::world::{node, World};
-use limeway_control_plane::messages::{Call, Pong, Reply, Standing};
+use limeway_control_plane::messages::{Call, HeartbeatReply, PeerStatus, Reply};
 
 /// Which guard is off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,36 +43,52 @@
 
 impl World {
     /// How a machine stands, as one would have it that nobody asked.
-    fn feigned(&self, at: usize) -> Standing {
+    fn feigned(&self, at: usize) -> PeerStatus {
         let (node, life) = (node(at), self.machines[at].disk.votes.disk);
         let (counted, sound, touch, leaving) = (true, true, true, false);
-        Standing { node, life, boot: 1, counted, sound, touch, leaving, slot: 0, kept: 0 }
+        PeerStatus {
+            node,
+            disk: life,
+            incarnation: 1,
+            loss_counted: counted,
+            disk_healthy: sound,
+            has_quorum: touch,
+            shutting_down: leaving,
+            slot: 0,
+            durable_slot: 0,
+        }
     }
 
     pub(crate) fn tamper_answer(&self, (to, round): (usize, bool), reply: Option<Reply>) -> Option<Reply> {
         if self.off == Off::Contact && round && reply.is_none() {
             let (me, pending) = (self.feigned(to), false);
             let (held, given, servers) = (Vec::new(), Vec::new(), Vec::new());
-            return Some(Reply::Pong(Pong { me, pending, held, given, servers }));
+            return Some(Reply::Heartbeat(HeartbeatReply {
+                status: me,
+                has_accepted: pending,
+                held,
+                granted: given,
+                servers,
+            }));
         }
         reply
     }
 
-    fn ahead(&self, standing: &mut Standing) {
-        let seated = self.judge.seats().iter().any(|s| s.node == standing.node && s.disk == standing.life);
+    fn ahead(&self, standing: &mut PeerStatus) {
+        let seated = self.judge.seats().iter().any(|s| s.node == standing.node && s.disk == standing.disk);
         if !seated {
-            standing.kept = standing.kept.max(self.judge.newest());
+            standing.durable_slot = standing.durable_slot.max(self.judge.newest());
         }
     }
 
     pub(crate) fn tamper_reply(&self, _at: usize, reply: Reply) -> Reply {
         match reply {
-            Reply::Pong(mut pong) => {
-                pong.pending &= self.off != Off::Pending;
+            Reply::Heartbeat(mut pong) => {
+                pong.has_accepted &= self.off != Off::Pending;
                 if self.off == Off::Newcomer {
-                    self.ahead(&mut pong.me);
+                    self.ahead(&mut pong.status);
                 }
-                Reply::Pong(pong)
+                Reply::Heartbeat(pong)
             }
             other => other,
         }
@@ -80,9 +96,9 @@
 
     pub(crate) fn tamper_call(&self, _at: usize, call: Call) -> Call {
         match call {
-            Call::Ping(mut ping) if self.off == Off::Newcomer => {
-                self.ahead(&mut ping.me);
-                Call::Ping(ping)
+            Call::Heartbeat(mut ping) if self.off == Off::Newcomer => {
+                self.ahead(&mut ping.status);
+                Call::Heartbeat(ping)
             }
             other => other,
         }
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -4,7 +4,7 @@
 use crate::world::{node, Ev, Origin, World, LIMITERS};
 use crate::{Micros, Off, SECOND};
 use limeway_control_plane::messages::{Call, Reply};
-use limeway_control_plane::{Ask, Told};
+use limeway_control_plane::{ApiRequest, ApiResponse};
 use limeway_distribution::{LongPoll, StateCache};
 use limeway_membership::{MemberHeartbeat, SHARDS};
 use limeway_quota::Request;
@@ -164,7 +164,7 @@
         self.chance.pick(&live).copied().unwrap_or(0)
     }
 
-    fn send_ask(&mut self, to: usize, who: Who, ask: Ask) {
+    fn send_ask(&mut self, to: usize, who: Who, ask: ApiRequest) {
         let at = self.t + self.chance.between(500, 20_000);
         self.push(at, Ev::Ask(to, who, ask));
     }
@@ -188,10 +188,10 @@
         }
     }
 
-    pub(crate) fn told(&mut self, who: Who, told: Option<Told>) {
+    pub(crate) fn told(&mut self, who: Who, told: Option<ApiResponse>) {
         match who {
             Who::Flight(number, tries) => self.answered(number, tries, told),
-            Who::Gone(server, _) if told == Some(Told::Done) => {
+            Who::Gone(server, _) if told == Some(ApiResponse::Done) => {
                 let server = &mut self.people.servers[server];
                 if server.leaving {
                     self.people.gone.push(server.id.clone());
@@ -202,7 +202,7 @@
                 }
             }
             Who::Reader(at) => {
-                if let Some(Told::Document(_)) = told {
+                if let Some(ApiResponse::Document(_)) = told {
                     self.people.read.push(at);
                 }
             }
@@ -260,31 +260,35 @@
         flight.sent = self.t;
         let who = Who::Flight(number, flight.tries);
         let ask = match &flight.wanted {
-            Wanted::Order(order) => Ask::Order(order.clone()),
-            Wanted::Read => Ask::Read,
-            Wanted::Evacuate(zone, begun) => Ask::Evacuate { zone: (*zone).to_owned(), begun: *begun },
+            Wanted::Order(order) => ApiRequest::UpdateConfig(order.clone()),
+            Wanted::Read => ApiRequest::ReadConfig,
+            Wanted::Evacuate(zone, begun) => {
+                ApiRequest::Evacuate { zone: (*zone).to_owned(), starts: *begun }
+            }
         };
         self.send_ask(to, who, ask);
         self.push(self.t + SILENCE, Ev::Wake(who));
     }
 
-    fn answered(&mut self, number: u64, tries: u64, told: Option<Told>) {
+    fn answered(&mut self, number: u64, tries: u64, told: Option<ApiResponse>) {
         let Some(flight) = self.people.flights.get_mut(&number).filter(|f| f.tries == tries) else { return };
         let known = &mut self.people.known[flight.operator];
         match told {
-            None | Some(Told::Unclear) => {
+            None | Some(ApiResponse::Indeterminate) => {
                 let pause = 30_000 << tries.min(4);
                 let again = Ev::Wake(Who::Flight(number, tries));
                 return self.push(self.t + pause, again);
             }
-            Some(Told::Done | Told::Taken(_)) => {
+            Some(ApiResponse::Done | ApiResponse::EvacuationDone(_)) => {
                 if let Wanted::Order(order) = &flight.wanted {
                     *known = (*known).max(order.version);
                 }
             }
-            Some(Told::Document(text)) => *known = (*known).max(crate::judge::version(&text).unwrap_or(0)),
+            Some(ApiResponse::Document(text)) => {
+                *known = (*known).max(crate::judge::version(&text).unwrap_or(0))
+            }
             // Someone else was first, or it is wrong: what is in place is read before the next.
-            Some(Told::Stale | Told::Invalid(_)) => {
+            Some(ApiResponse::VersionConflict | ApiResponse::Invalid(_)) => {
                 let operator = flight.operator;
                 let (wanted, begun) = (Wanted::Read, self.t);
                 self.people.flights.remove(&number);
@@ -334,7 +338,7 @@
             members_revision: members,
             max_wait: HOLD,
         };
-        self.ask_core(at, number, to, Call::Poll(Box::new(poll)));
+        self.ask_core(at, number, to, Call::LongPoll(Box::new(poll)));
         self.push(t + HOLD + 700_000, Ev::Answer(Origin::Limiter(at, number), None));
         self.ask_quota(at);
     }
@@ -356,7 +360,7 @@
             limiter.told[group] = holder;
             let (term, life, number) = (0, u64::from(me) + 1, 0);
             let request = Request { group, asks: Vec::new(), holds: Some(Vec::new()), term, life, number };
-            self.ask_core(at, 0, holder.node as usize - 1, Call::Ask(me, vec![request]));
+            self.ask_core(at, 0, holder.node as usize - 1, Call::LeaseQuota(me, vec![request]));
         }
     }
 
@@ -371,7 +375,7 @@
         limiter.poll.0 += 1;
         let mut pause = 500;
         match reply {
-            Some(Reply::Feed(mut feed)) => {
+            Some(Reply::Update(mut feed)) => {
                 if off == Off::Ages {
                     (feed.confirmed_age, feed.waited, asked) = (feed.confirmed_age.map(|_| 0), 0, t);
                 }
@@ -417,7 +421,7 @@
             unresponsive: false,
         };
         let to = self.any();
-        self.send_ask(to, Who::Server(at), Ask::Beat(report));
+        self.send_ask(to, Who::Server(at), ApiRequest::Heartbeat(report));
     }
 
     /// A server says that it has ended, until that is acknowledged.
@@ -426,7 +430,7 @@
         server.sent += 1;
         let (id, who) = (server.id.clone(), Who::Gone(at, server.sent));
         let to = self.any();
-        self.send_ask(to, who, Ask::Gone(id));
+        self.send_ask(to, who, ApiRequest::Deregister(id));
         self.push(self.t + SECOND, Ev::Wake(who));
     }
 }
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -8,7 +8,9 @@
 use crate::{Micros, Off, Schedule, SECOND};
 use limeway_consensus::NodeId;
 use limeway_control_plane::messages::{Call, Reply};
-use limeway_control_plane::{Action, Ask, Event, Marker, Start, Ticket, Token, Told};
+use limeway_control_plane::{
+    Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, RequestId, StartOptions,
+};
 use limeway_quota::Rule;
 use std::collections::BTreeMap;
 
@@ -27,7 +29,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Origin {
     /// A core machine, in a life of its process, by this ticket.
-    Machine(usize, u64, Ticket),
+    Machine(usize, u64, RequestId),
     /// A limiter: its number, and that of the call.
     Limiter(usize, u64),
 }
@@ -54,9 +56,9 @@
     /// A process is told to end.
     Leave(usize),
     /// An operator or a server asks a machine.
-    Ask(usize, Who, Ask),
+    Ask(usize, Who, ApiRequest),
     /// It is told.
-    Told(Who, Option<Told>),
+    Told(Who, Option<ApiResponse>),
     /// Someone's time has come.
     Wake(Who),
     /// What should have come about is looked at.
@@ -67,11 +69,11 @@
 #[derive(Debug)]
 pub struct Process {
     /// Its state machine.
-    pub marker: Marker,
+    pub marker: ControlPlane,
     /// Which of the machine's processes it is.
     pub life: u64,
     /// Calls without an answer: whom, and whether it is a round.
-    open: BTreeMap<Ticket, (usize, bool)>,
+    open: BTreeMap<RequestId, (usize, bool)>,
     tick: u64,
     /// The second of virtual time, and events in it.
     pub busy: (Micros, u32),
@@ -124,9 +126,9 @@
     /// The core machines.
     pub machines: Vec<Machine>,
     pub(crate) net: Net<Ev>,
-    tokens: BTreeMap<Token, (Origin, usize)>,
-    asks: BTreeMap<Token, Who>,
-    last_token: Token,
+    tokens: BTreeMap<CallerId, (Origin, usize)>,
+    asks: BTreeMap<CallerId, Who>,
+    last_token: CallerId,
     pub(crate) chance: Chance,
     pub(crate) people: People,
     /// What is checked.
@@ -142,8 +144,10 @@
 
 fn bytes(call: &Call) -> u64 {
     match call {
-        Call::Accept(_, _, value) | Call::Chosen(_, value) => 60 + value.len() as u64,
-        Call::Ping(ping) => 100 + 60 * (ping.members.len() + ping.beats.len() + ping.held.len()) as u64,
+        Call::Accept(_, _, value) | Call::Commit(_, value) => 60 + value.len() as u64,
+        Call::Heartbeat(ping) => {
+            100 + 60 * (ping.members.len() + ping.reports.len() + ping.held.len()) as u64
+        }
         _ => 100,
     }
 }
@@ -279,7 +283,7 @@
             Ev::Leave(at) => {
                 if let Some(life) = self.machines[at].process.as_ref().map(|p| p.life) {
                     self.push(self.t + GRACE, Ev::Grace(at, life));
-                    self.handle(at, Event::Leave);
+                    self.handle(at, Event::Shutdown);
                 }
             }
             Ev::Ask(at, who, ask) => self.asked(at, who, ask),
@@ -325,21 +329,21 @@
         if off == Off::Former {
             state.former_voters.clear();
         }
-        let start = Start {
-            me: node(at),
-            boot: if off == Off::OneBoot { u64::from(node(at)) } else { drawn },
+        let start = StartOptions {
+            node: node(at),
+            incarnation: if off == Off::OneBoot { u64::from(node(at)) } else { drawn },
             ack_timeout: 6 * SECOND,
-            counted: true,
-            losses: self.schedule.losses,
-            rule: Rule { window: 5 * SECOND, overshoot: 0.1, slack: 20.0 },
-            heartbeat: SECOND / 2,
+            loss_counted: true,
+            tolerated_losses: self.schedule.losses,
+            quota_rule: Rule { window: 5 * SECOND, overshoot: 0.1, slack: 20.0 },
+            server_heartbeat: SECOND / 2,
             seeds: seeds.into_iter().map(node).collect(),
-            founder: first,
+            initial_start: first,
             acceptor: machine.disk.votes.clone(),
             state,
         };
         let mut out = Vec::new();
-        let marker = Marker::new(self.t + machine.offset, start, &mut out);
+        let marker = ControlPlane::new(self.t + machine.offset, start, &mut out);
         let life = machine.lives;
         machine.process = Some(Process { marker, life, open: BTreeMap::new(), tick: 0, busy: (0, 0) });
         self.perform(at, out);
@@ -361,9 +365,11 @@
         let mut at_once = Vec::new();
         for action in out {
             match action {
-                Action::Send { ticket, to, call, wait } => self.send(at, (life, ticket), to, call, wait),
+                Action::Send { request: ticket, to, call, timeout: wait } => {
+                    self.send(at, (life, ticket), to, call, wait)
+                }
                 Action::Reply(token, reply) => self.reply(at, token, reply),
-                Action::Tell(token, told) => match self.asks.remove(&token) {
+                Action::Respond(token, told) => match self.asks.remove(&token) {
                     Some(who) => {
                         self.judge.told(self.t, at, &self.machines, self.people.asked_of(who), &told);
                         let back = self.t + self.chance.between(500, 20_000);
@@ -381,27 +387,27 @@
                         at_once.push(job);
                     }
                 }
-                Action::End => {
+                Action::Exit => {
                     self.ended(at);
                     return;
                 }
             }
         }
         for job in at_once {
-            self.handle(at, Event::Written(job, true));
+            self.handle(at, Event::WriteCompleted(job, true));
         }
         let (t, late) = (self.t, self.chance.between(20, 1_200));
         let machine = &mut self.machines[at];
         let Some(process) = machine.process.as_mut().filter(|p| p.life == life) else { return };
         process.tick += 1;
-        let (tick, wake) = (process.tick, process.marker.wake().saturating_sub(machine.offset));
+        let (tick, wake) = (process.tick, process.marker.next_tick().saturating_sub(machine.offset));
         self.push(wake.max(t) + late, Ev::Tick(at, life, tick));
     }
 
-    fn send(&mut self, at: usize, (life, ticket): (u64, Ticket), to: NodeId, call: Call, wait: Micros) {
+    fn send(&mut self, at: usize, (life, ticket): (u64, RequestId), to: NodeId, call: Call, wait: Micros) {
         let (origin, to) = (Origin::Machine(at, life, ticket), to as usize - 1);
         if let Some(process) = &mut self.machines[at].process {
-            process.open.insert(ticket, (to, matches!(call, Call::Ping(_))));
+            process.open.insert(ticket, (to, matches!(call, Call::Heartbeat(_))));
         }
         self.push(self.t + wait, Ev::Answer(origin, None));
         if to < self.machines.len() {
@@ -439,7 +445,7 @@
         self.handle(at, Event::Call(self.last_token, call));
     }
 
-    fn reply(&mut self, at: usize, token: Token, reply: Reply) {
+    fn reply(&mut self, at: usize, token: CallerId, reply: Reply) {
         let Some((origin, _)) = self.tokens.remove(&token).filter(|(_, by)| *by == at) else {
             return self.judge.fail(format!("machine {at} answers a call twice"));
         };
@@ -447,7 +453,7 @@
         self.post((at, self.end_of(origin)), 200, Ev::Answer(origin, Some(reply)));
     }
 
-    fn asked(&mut self, at: usize, who: Who, ask: Ask) {
+    fn asked(&mut self, at: usize, who: Who, ask: ApiRequest) {
         if self.machines[at].process.is_none() {
             if !self.machines[at].dark {
                 self.push(self.t + 1_000, Ev::Told(who, None));
@@ -456,7 +462,7 @@
         }
         self.last_token += 1;
         self.asks.insert(self.last_token, who);
-        self.handle(at, Event::Ask(self.last_token, ask));
+        self.handle(at, Event::ApiCall(self.last_token, ask));
     }
 
     fn disk_ends(&mut self, at: usize, life: u64) {
@@ -476,7 +482,7 @@
         match done {
             Err(e) => self.judge.fail(format!("disk of machine {at}: {e}")),
             Ok(_) if self.off == Off::WordsEarly => {}
-            Ok(done) => self.handle(at, Event::Written(job, done || self.off == Off::FailedWrites)),
+            Ok(done) => self.handle(at, Event::WriteCompleted(job, done || self.off == Off::FailedWrites)),
         }
     }
 
