--- a/crates/balancer/src/link.rs
+++ b/crates/balancer/src/link.rs
@@ -11,7 +11,7 @@
 use crate::clock::{self, Micros};
 use crate::messages::{Call, Reply};
 use bytes::BytesMut;
-use limeway_rpc::{Body, Caller, Full, Patience, Sight, Told};
+use limeway_rpc::{Body, ClientEvent, ConnectionHealth, QueueFull, RpcClient, Timeouts};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::fmt;
@@ -58,8 +58,8 @@
 
 impl std::error::Error for LinkError {}
 
-impl From<Full> for LinkError {
-    fn from(_: Full) -> Self {
+impl From<QueueFull> for LinkError {
+    fn from(_: QueueFull) -> Self {
         LinkError::Busy
     }
 }
@@ -68,7 +68,7 @@
 
 /// One connection to a process.
 struct Open {
-    caller: RefCell<Caller>,
+    caller: RefCell<RpcClient>,
     waiting: RefCell<HashMap<u32, oneshot::Sender<Answer>>>,
     /// There is more to write.
     more: Notify,
@@ -101,7 +101,7 @@
     async fn run(&self, stream: TcpStream, to: SocketAddr) {
         let (mut from, mut into) = stream.into_split();
         let next = |bytes: &mut Vec<u8>| {
-            let wrote = self.caller.borrow_mut().write(clock::now(), bytes);
+            let wrote = self.caller.borrow_mut().write_next(clock::now(), bytes);
             if wrote {
                 self.stirred.set(clock::now());
             }
@@ -126,18 +126,18 @@
             }
             let now = clock::now();
             self.stirred.set(now);
-            self.caller.borrow_mut().heard(now);
+            self.caller.borrow_mut().bytes_received(now);
             loop {
-                let told = match self.caller.borrow_mut().take(now, &mut buffer) {
+                let told = match self.caller.borrow_mut().next_event(now, &mut buffer) {
                     Ok(Some(told)) => told,
                     Ok(None) => break,
                     Err(e) => return spoilt(to, e),
                 };
                 let (number, answer) = match told {
-                    Told::Refused(number) => (number, Err(LinkError::Busy)),
-                    Told::Answer(number, body) => {
+                    ClientEvent::Declined(number) => (number, Err(LinkError::Busy)),
+                    ClientEvent::Response(number, body) => {
                         // One that cannot be read ends no other.
-                        (number, body.read().inspect_err(|e| spoilt(to, *e)).map_err(|_| LinkError::Broken))
+                        (number, body.decode().inspect_err(|e| spoilt(to, *e)).map_err(|_| LinkError::Broken))
                     }
                 };
                 if let Some(tell) = self.waiting.borrow_mut().remove(&number) {
@@ -155,9 +155,9 @@
 }
 
 impl Asked {
-    fn give_up(&self) -> Sight {
+    fn give_up(&self) -> ConnectionHealth {
         self.open.waiting.borrow_mut().remove(&self.number);
-        let sight = self.open.caller.borrow_mut().give_up(clock::now(), self.number);
+        let sight = self.open.caller.borrow_mut().cancel(clock::now(), self.number);
         self.open.more.notify_one();
         sight
     }
@@ -214,7 +214,7 @@
 
     /// Asks, and waits for so long and no longer.
     pub async fn call(&self, call: &Call, wait: Duration) -> Result<Reply, LinkError> {
-        self.ask(call, Patience::strict(wait.as_micros() as Micros)).await
+        self.ask(call, Timeouts::fixed(wait.as_micros() as Micros)).await
     }
 
     /// Asks for what may be long: waits while pieces of the call go out or pieces of its answer come in, up to `silence`
@@ -226,26 +226,23 @@
         most: Duration,
     ) -> Result<Reply, LinkError> {
         let micros = |d: Duration| d.as_micros() as Micros;
-        self.ask(call, Patience { silence: micros(silence), most: micros(most) }).await
+        self.ask(call, Timeouts { idle: micros(silence), total: micros(most) }).await
     }
 
-    async fn ask(&self, call: &Call, patience: Patience) -> Result<Reply, LinkError> {
+    async fn ask(&self, call: &Call, patience: Timeouts) -> Result<Reply, LinkError> {
         let begun = clock::now();
-        let body = Body::of(call).map_err(|_| LinkError::Broken)?;
-        let dialling = Duration::from_micros(patience.silence.min(patience.most));
+        let body = Body::encode(call).map_err(|_| LinkError::Broken)?;
+        let dialling = Duration::from_micros(patience.idle.min(patience.total));
         let open = timeout(dialling, self.connection()).await.map_err(|_| LinkError::Late)??;
         let number = self.next.get();
         self.next.set(number.wrapping_add(1));
         // What dialling took is taken off.
         let now = clock::now();
         let took = now - begun;
-        let left = Patience {
-            silence: patience.silence.saturating_sub(took),
-            most: patience.most.saturating_sub(took),
-        };
         let left =
-            if left.most > left.silence { Patience { silence: patience.silence, ..left } } else { left };
-        open.caller.borrow_mut().ask(now, number, body, left)?;
+            Timeouts { idle: patience.idle.saturating_sub(took), total: patience.total.saturating_sub(took) };
+        let left = if left.total > left.idle { Timeouts { idle: patience.idle, ..left } } else { left };
+        open.caller.borrow_mut().start_call(now, number, body, left)?;
         let (tell, mut told) = oneshot::channel();
         open.waiting.borrow_mut().insert(number, tell);
         let asked = Asked { open: open.clone(), number };
@@ -266,9 +263,9 @@
         };
         if matches!(answer, Err(LinkError::Late)) {
             match asked.give_up() {
-                Sight::Well => {}
-                Sight::Doubtful => self.leave(&open),
-                Sight::Dead => open.end(),
+                ConnectionHealth::Healthy => {}
+                ConnectionHealth::Suspect => self.leave(&open),
+                ConnectionHealth::Dead => open.end(),
             }
         }
         drop(asked);
@@ -289,7 +286,7 @@
         let mut left = self.left.borrow_mut();
         let over = left.len().saturating_sub(LEFT_MOST);
         for (n, open) in left.iter().enumerate() {
-            if n < over || open.caller.borrow().under_way() == 0 {
+            if n < over || open.caller.borrow().in_flight() == 0 {
                 open.end();
             }
         }
--- a/crates/balancer/src/link/answering.rs
+++ b/crates/balancer/src/link/answering.rs
@@ -4,7 +4,7 @@
 use crate::clock::{self, Micros};
 use crate::messages::{Call, Reply};
 use bytes::BytesMut;
-use limeway_rpc::{Answerer, Body};
+use limeway_rpc::{Body, RpcServer};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
 /// One connection from a process.
 #[derive(Default)]
 struct Taken {
-    answerer: RefCell<Answerer>,
+    answerer: RefCell<RpcServer>,
     more: Notify,
     /// When bytes came or went last.
     stirred: Cell<Micros>,
@@ -62,7 +62,7 @@
     {
         let (mut half, mut into) = stream.into_split();
         let next = |bytes: &mut Vec<u8>| {
-            let wrote = self.answerer.borrow_mut().write(bytes);
+            let wrote = self.answerer.borrow_mut().write_next(bytes);
             if wrote {
                 self.stirred.set(clock::now());
             }
@@ -89,17 +89,17 @@
             }
             self.stirred.set(clock::now());
             loop {
-                let (number, body) = match self.answerer.borrow_mut().take(&mut buffer) {
+                let (number, body) = match self.answerer.borrow_mut().next_call(&mut buffer) {
                     Ok(Some(call)) => call,
                     Ok(None) => break,
                     Err(e) => return spoilt(from, e),
                 };
-                match body.read::<Call>() {
+                match body.decode::<Call>() {
                     Ok(call) => self.clone().answer(number, answer(call)),
                     // One that cannot be read ends no other.
                     Err(e) => {
                         spoilt(from, e);
-                        self.answerer.borrow_mut().refuse(number);
+                        self.answerer.borrow_mut().decline(number);
                     }
                 }
             }
@@ -112,17 +112,17 @@
     fn answer(self: Rc<Self>, number: u32, reply: impl Future<Output = Reply> + 'static) {
         tokio::task::spawn_local(async move {
             let reply = reply.await;
-            let wanted = self.answerer.borrow().wanted(number);
+            let wanted = self.answerer.borrow().is_awaited(number);
             // What nobody waits for is not even put into a frame.
-            let body = if wanted { Body::of(&reply).ok() } else { None };
+            let body = if wanted { Body::encode(&reply).ok() } else { None };
             let mut answerer = self.answerer.borrow_mut();
             match body {
                 Some(body) => {
-                    if let Err(e) = answerer.answer(number, body) {
+                    if let Err(e) = answerer.respond(number, body) {
                         log::debug!("link: {e}");
                     }
                 }
-                None => answerer.refuse(number),
+                None => answerer.decline(number),
             }
             drop(answerer);
             self.more.notify_one();
--- a/crates/balancer/tests/links.rs
+++ b/crates/balancer/tests/links.rs
@@ -4,7 +4,7 @@
 use limeway_balancer::link::{self, Link, LinkError};
 use limeway_balancer::messages::{Call, Reply};
 use limeway_distribution::transfer::StateRequest;
-use limeway_rpc::{Answerer, Body};
+use limeway_rpc::{Body, RpcServer};
 use rstest::rstest;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -39,19 +39,19 @@
 /// The other end of a connection, by hand.
 struct End {
     stream: TcpStream,
-    answerer: Answerer,
+    answerer: RpcServer,
     buffer: BytesMut,
 }
 
 impl End {
     async fn of(listener: &TcpListener) -> Self {
         let (stream, _) = listener.accept().await.expect("a connection");
-        End { stream, answerer: Answerer::default(), buffer: BytesMut::new() }
+        End { stream, answerer: RpcServer::default(), buffer: BytesMut::new() }
     }
 
     async fn call(&mut self) -> u32 {
         loop {
-            if let Some((number, _)) = self.answerer.take(&mut self.buffer).expect("sound") {
+            if let Some((number, _)) = self.answerer.next_call(&mut self.buffer).expect("sound") {
                 return number;
             }
             assert!(self.stream.read_buf(&mut self.buffer).await.expect("open") > 0);
@@ -59,9 +59,9 @@
     }
 
     fn answer(&mut self, number: u32, reply: &Reply) -> Vec<u8> {
-        self.answerer.answer(number, Body::of(reply).expect("body")).expect("room");
+        self.answerer.respond(number, Body::encode(reply).expect("body")).expect("room");
         let mut bytes = Vec::new();
-        while self.answerer.write(&mut bytes) {}
+        while self.answerer.write_next(&mut bytes) {}
         bytes
     }
 }
--- a/crates/data/rpc/src/body.rs
+++ b/crates/data/rpc/src/body.rs
@@ -1,96 +1,114 @@
-//! Bodies of frames: CBOR, packed with LZ4 where that is worth it.
+//! Bodies of frames: CBOR, compressed with LZ4 where that is worth it.
 //!
-//! Weighed on a configuration of 1,500 routes: `docs/design/calls.md`. LZ4 keeps no context between bodies and needs some
-//! 16 KB while it packs.
+//! Measured on a configuration of 1,500 routes: `docs/design/calls.md`. LZ4 keeps no context between bodies and needs some 16 KB
+//! while it compresses.
 
-use crate::piece::{FrameError, FRAME_MOST};
+use crate::chunk::{FrameError, MAX_FRAME_BYTES};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Bodies are packed from this length on, in bytes: a shorter one goes in a packet or two in any case.
-pub const PACK_FROM: usize = 4 * 1024;
-/// So much of the front of a body is tried first, in bytes: what is packed already does not shrink again.
-const TRIED: usize = 4 * 1024;
-/// Deepest nesting that is read.
-const DEEPEST: usize = 32;
+/// Bodies are compressed from this length on, in bytes: a shorter one fits in a packet or two in any case.
+pub const MIN_COMPRESSED_BYTES: usize = 4 * 1024;
+/// So much of the front of a body is tried first, in bytes: what is compressed already does not shrink again.
+const SAMPLE_BYTES: usize = 4 * 1024;
+/// Deepest nesting that is decoded.
+const MAX_DEPTH: usize = 32;
+/// LZ4 makes at most so many bytes of one.
+const MAX_EXPANSION: usize = 255;
 
-/// Packed, it is a fifth shorter at least.
-fn worth(packed: usize, plain: usize) -> bool {
-    packed <= plain - plain / 5
+/// Whether compression saves a fifth at least.
+fn is_worth_it(compressed: usize, plain: usize) -> bool {
+    compressed <= plain - plain / 5
 }
 
 /// The body of a frame as it goes over a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Body {
     bytes: Vec<u8>,
-    /// Its length once unpacked, if it is packed.
-    unpacked: Option<u32>,
+    /// Its uncompressed length, if it is compressed.
+    uncompressed: Option<u32>,
 }
 
 impl Body {
-    /// Of a message. One that is longer than [`FRAME_MOST`] is an error.
-    pub fn of(message: &impl Serialize) -> Result<Self, FrameError> {
+    /// Encodes a message.
+    ///
+    /// # Errors
+    /// It cannot be encoded, or is longer than [`MAX_FRAME_BYTES`].
+    pub fn encode(message: &impl Serialize) -> Result<Self, FrameError> {
         let mut bytes = Vec::new();
         ciborium::into_writer(message, &mut bytes).map_err(|_| FrameError::Content)?;
-        if bytes.len() > FRAME_MOST {
+        if bytes.len() > MAX_FRAME_BYTES {
             return Err(FrameError::Length);
         }
-        if bytes.len() >= PACK_FROM && worth(lz4_flex::block::compress(&bytes[..TRIED]).len(), TRIED) {
-            let packed = lz4_flex::block::compress(&bytes);
-            if worth(packed.len(), bytes.len()) {
-                return Ok(Body { unpacked: Some(bytes.len() as u32), bytes: packed });
-            }
+        if let Some(compressed) = compress(&bytes) {
+            return Ok(Body { uncompressed: Some(bytes.len() as u32), bytes: compressed });
         }
-        Ok(Body { bytes, unpacked: None })
+        Ok(Body { bytes, uncompressed: None })
     }
 
-    /// As it came.
-    pub(crate) fn came(bytes: Vec<u8>, unpacked: Option<u32>) -> Self {
-        Body { bytes, unpacked }
+    /// A body as it was received.
+    pub(crate) fn received(bytes: Vec<u8>, uncompressed: Option<u32>) -> Self {
+        Body { bytes, uncompressed }
     }
 
-    /// As it goes.
+    /// The bytes as they are sent.
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    pub(crate) fn unpacked(&self) -> Option<u32> {
-        self.unpacked
+    pub(crate) fn uncompressed(&self) -> Option<u32> {
+        self.uncompressed
     }
 
-    /// Its length as it goes, in bytes.
+    /// Its length as it is sent, in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Nothing stands in it.
+    /// Whether it has no bytes.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// It is packed.
-    pub fn packed(&self) -> bool {
-        self.unpacked.is_some()
+    /// Whether it is compressed.
+    pub fn is_compressed(&self) -> bool {
+        self.uncompressed.is_some()
     }
 
-    /// Reads the message.
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, FrameError> {
+    /// Decodes the message.
+    ///
+    /// # Errors
+    /// [`FrameError::Content`]: it is malformed, or no message of this type.
+    pub fn decode<T: DeserializeOwned>(&self) -> Result<T, FrameError> {
         let plain;
-        let bytes = match self.unpacked {
+        let bytes = match self.uncompressed {
             None => &self.bytes,
             Some(length) => {
-                // LZ4 makes at most 255 bytes of one: a false length reserves no memory that the body could not fill.
-                if length as usize > FRAME_MOST || length as usize / 255 > self.bytes.len() {
-                    return Err(FrameError::Content);
-                }
-                plain = lz4_flex::block::decompress(&self.bytes, length as usize)
-                    .map_err(|_| FrameError::Content)?;
-                if plain.len() != length as usize {
-                    return Err(FrameError::Content);
-                }
+                plain = decompress(&self.bytes, length as usize).ok_or(FrameError::Content)?;
                 &plain
             }
         };
-        ciborium::de::from_reader_with_recursion_limit(&bytes[..], DEEPEST).map_err(|_| FrameError::Content)
+        ciborium::de::from_reader_with_recursion_limit(&bytes[..], MAX_DEPTH).map_err(|_| FrameError::Content)
+    }
+}
+
+/// Compresses a body; nothing if that is not worth it.
+fn compress(bytes: &[u8]) -> Option<Vec<u8>> {
+    if bytes.len() < MIN_COMPRESSED_BYTES {
+        return None;
+    }
+    let sample = lz4_flex::block::compress(&bytes[..SAMPLE_BYTES]);
+    if !is_worth_it(sample.len(), SAMPLE_BYTES) {
+        return None;
+    }
+    let compressed = lz4_flex::block::compress(bytes);
+    is_worth_it(compressed.len(), bytes.len()).then_some(compressed)
+}
+
+fn decompress(bytes: &[u8], length: usize) -> Option<Vec<u8>> {
+    // A false length must reserve no memory that the body could not fill.
+    if length > MAX_FRAME_BYTES || length / MAX_EXPANSION > bytes.len() {
+        return None;
     }
+    lz4_flex::block::decompress(bytes, length).ok().filter(|plain| plain.len() == length)
 }
