--- /dev/null
+++ b/crates/balancer/src/control_api/mod.rs
@@ -0,0 +1,188 @@
+//! The control API: calls of servers, operators and clients to a control-plane replica, over HTTP.
+
+mod calls;
+mod server_report;
+
+use crate::clock::now;
+use crate::directory::{self, query};
+use crate::replica::Replica;
+use calls::{ApiCall, MAX_BODY_BYTES};
+use limeway_control_plane::{ApiRequest, ApiResponse, Event};
+use limeway_http1::http;
+use limeway_http1::inbound::{Bounds, Inbound, Message, Stop};
+use limeway_routing_config::ConfigUpdate;
+use limeway_types::{Micros, Timestamp};
+use miniserde::json;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+
+/// Upper bound on the connections of callers.
+const MAX_CONNECTIONS: usize = 1_500;
+/// Upper bound on a name in a call, in bytes.
+const MAX_NAME_BYTES: usize = 256;
+/// How long a call may take to arrive.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a connection may stay idle.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// A caller waits a second for a response: one that closes its connection sooner than this has taken it.
+const CALLER_PATIENCE: Micros = 850_000;
+
+/// A response: its status, and its body in JSON.
+struct HttpResponse {
+    status: u16,
+    body: String,
+}
+
+impl HttpResponse {
+    fn ok(body: impl Into<String>) -> Self {
+        HttpResponse { status: 200, body: body.into() }
+    }
+
+    fn error(status: u16, message: impl std::fmt::Display) -> Self {
+        let message = json::to_string(&message.to_string());
+        HttpResponse { status, body: format!("{{\"error-message\":{message}}}") }
+    }
+}
+
+impl From<ApiResponse> for HttpResponse {
+    fn from(response: ApiResponse) -> Self {
+        match response {
+            ApiResponse::Done | ApiResponse::EvacuationDone(_) => HttpResponse::ok("{}"),
+            ApiResponse::Document(document) => HttpResponse::ok(document),
+            ApiResponse::VersionConflict => HttpResponse::error(412, "another version is in place"),
+            ApiResponse::Invalid(e) => HttpResponse::error(400, format!("invalid: {e}")),
+            ApiResponse::Indeterminate => HttpResponse::error(503, "no majority of the core can be had"),
+        }
+    }
+}
+
+/// Takes calls for ever.
+pub async fn listen(replica: Rc<Replica>, listener: TcpListener) {
+    let count = Rc::new(Cell::new(0usize));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+            continue;
+        };
+        if count.get() >= MAX_CONNECTIONS {
+            continue;
+        }
+        let counted = limeway_http1::conn::Counted::new(&count);
+        let replica = replica.clone();
+        tokio::task::spawn_local(async move {
+            let _counted = counted;
+            serve(replica, Inbound::new(stream)).await;
+        });
+    }
+}
+
+async fn serve(replica: Rc<Replica>, mut inbound: Inbound) {
+    let bounds = Bounds { body: MAX_BODY_BYTES, whole: CALL_TIMEOUT, idle: IDLE_TIMEOUT };
+    loop {
+        let mut out = Vec::new();
+        let message = match inbound.read(bounds).await {
+            Ok(message) => message,
+            Err(Stop::Closed) => return,
+            Err(Stop::Status(status)) => {
+                http::write_answer(&mut out, status, b"", true, b"");
+                inbound.write(&out).await;
+                return inbound.linger().await;
+            }
+        };
+        let received = now();
+        let (response, evacuation) = answer(&replica, &message).await;
+        let close = !message.head.keep_alive;
+        let headers = b"Content-Type: application/json\r\n";
+        http::write_answer(&mut out, response.status, headers, close, response.body.as_bytes());
+        if !inbound.write(&out).await {
+            return;
+        }
+        if let Some(call_id) = evacuation {
+            confirm_delivery(&replica, &mut inbound, received, call_id).await;
+        }
+        if close {
+            return;
+        }
+    }
+}
+
+/// Watches whether the response to an evacuation call reaches its caller: one that closes its connection later than it waits for a
+/// response may have given up and retry.
+async fn confirm_delivery(replica: &Rc<Replica>, inbound: &mut Inbound, received: Timestamp, call_id: u64) {
+    let in_time = || now() < received + CALLER_PATIENCE;
+    if !in_time() {
+        return;
+    }
+    let taken = tokio::time::timeout(Duration::from_micros(CALLER_PATIENCE), inbound.taken()).await;
+    if taken == Ok(true) && in_time() {
+        replica.handle(Event::ResponseDelivered(call_id));
+    }
+}
+
+/// Answers a call. With the response comes the id of an evacuation call that is done.
+async fn answer(replica: &Rc<Replica>, message: &Message) -> (HttpResponse, Option<u64>) {
+    let (method, target) = message.line();
+    let (path, parameters) = target.split_once('?').unwrap_or((target, ""));
+    let Some(entry) = calls::find(method, path, query(parameters, "call").unwrap_or("")) else {
+        return (HttpResponse::error(404, "no such call"), None);
+    };
+    if message.body.len() > entry.max_body_bytes {
+        return (HttpResponse::error(413, "body is too long"), None);
+    }
+    let request = match api_request(replica, entry.call, parameters, &message.body) {
+        Ok(request) => request,
+        Err(response) => return (response, None),
+    };
+    let response = replica.answer_api(request).await;
+    let evacuation = match response {
+        ApiResponse::EvacuationDone(call_id) => Some(call_id),
+        _ => None,
+    };
+    (response.into(), evacuation)
+}
+
+/// The request that a call makes of the replica.
+///
+/// # Errors
+/// The response to a call that makes none: it is malformed, or a read that needs none.
+fn api_request(
+    replica: &Replica,
+    call: ApiCall,
+    parameters: &str,
+    body: &[u8],
+) -> Result<ApiRequest, HttpResponse> {
+    let of = query(parameters, "of").unwrap_or("");
+    if of.len() > MAX_NAME_BYTES {
+        return Err(HttpResponse::error(400, "of: is too long"));
+    }
+    let update = |replace| ConfigUpdate::parse(body, replace).map_err(|e| HttpResponse::error(400, e));
+    Ok(match call {
+        ApiCall::Heartbeat => {
+            ApiRequest::Heartbeat(server_report::parse(of, body).map_err(|e| HttpResponse::error(400, e))?)
+        }
+        ApiCall::Deregister => ApiRequest::Deregister(of.to_owned()),
+        ApiCall::ReplaceConfig => ApiRequest::UpdateConfig(update(true)?),
+        ApiCall::UpdateConfig => ApiRequest::UpdateConfig(update(false)?),
+        ApiCall::ReadConfig => ApiRequest::ReadConfig,
+        ApiCall::Resolve => return Err(resolve(replica, parameters)),
+        ApiCall::StartEvacuation | ApiCall::EndEvacuation => {
+            if !replica.settings.zones.contains_key(of) {
+                return Err(HttpResponse::error(404, "no such zone"));
+            }
+            ApiRequest::Evacuate { zone: of.to_owned(), starts: call == ApiCall::StartEvacuation }
+        }
+    })
+}
+
+fn resolve(replica: &Replica, parameters: &str) -> HttpResponse {
+    let frontends = replica.control_plane().live_frontends(now()).unwrap_or_default();
+    let frontends = frontends.iter().map(|frontend| (frontend.zone.as_str(), frontend.address));
+    match directory::resolve(&replica.settings, frontends, parameters) {
+        Some(body) => HttpResponse::ok(body),
+        None => HttpResponse::error(503, "no limiter is known"),
+    }
+}
--- a/crates/balancer/src/directory.rs
+++ b/crates/balancer/src/directory.rs
@@ -1,42 +1,54 @@
-//! Where a client should go: the limiters near it that can serve.
+//! The directory: which limiters a client should go to.
 
 use limeway_settings::Settings;
+use limeway_types::{Micros, SECOND};
 use std::net::SocketAddrV4;
 
-/// Addresses in an answer, at most.
-const ADDRESSES_MOST: usize = 64;
-/// An answer may be kept for so long, in microseconds.
-const TTL: u64 = 2_000_000;
+/// Upper bound on the addresses in a response.
+const MAX_ADDRESSES: usize = 64;
+/// How long a response may be cached.
+const TTL: Micros = 2 * SECOND;
 
-/// The value of a name in a query.
+/// How far a limiter is from a client; less is better.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Distance {
+    SameZone,
+    SameRegion,
+    OtherRegion,
+}
+
+/// The value of a parameter in a query string.
 pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
-    query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+    let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// Answers `/-/resolve` from limiters that can serve, by their zones. Nothing where none is known.
+/// Answers `/-/resolve` from the limiters that can serve, given by their zones. Nothing if none is known.
 pub fn resolve<'a>(
     settings: &Settings,
-    members: impl Iterator<Item = (&'a str, SocketAddrV4)>,
-    rest: &str,
+    frontends: impl Iterator<Item = (&'a str, SocketAddrV4)>,
+    parameters: &str,
 ) -> Option<String> {
-    let (zone, region) = (query(rest, "zone").unwrap_or(""), query(rest, "region").unwrap_or(""));
+    let zone = query(parameters, "zone").unwrap_or("");
+    let region = query(parameters, "region").unwrap_or("");
     let zones = &settings.zones;
     let distance = |at: &str| {
         let region_of = zones.get(at).map_or("", String::as_str);
         if at == zone {
-            0
+            Distance::SameZone
         } else if region_of == region || zones.get(zone).is_some_and(|r| r == region_of) {
-            1
+            Distance::SameRegion
         } else {
-            2
+            Distance::OtherRegion
         }
     };
-    let mut all: Vec<(u8, SocketAddrV4)> = members.map(|(at, front)| (distance(at), front)).collect();
+    let mut all: Vec<(Distance, SocketAddrV4)> =
+        frontends.map(|(zone, address)| (distance(zone), address)).collect();
     all.sort_unstable();
-    // The client's region, where it has any: with one limiter there lost, others are left.
-    let most = if all.first()?.0 <= 1 { 1 } else { 2 };
-    let near = all.iter().filter(|(d, _)| *d <= most).take(ADDRESSES_MOST);
-    let addresses: Vec<String> = near.map(|(_, a)| format!("\"{a}\"")).collect();
+    // All of the client's region if it has any, not just its zone: should one limiter be lost, others are left.
+    let farthest = all.first()?.0.max(Distance::SameRegion);
+    let near = all.iter().filter(|(distance, _)| *distance <= farthest).take(MAX_ADDRESSES);
+    let addresses: Vec<String> = near.map(|(_, address)| format!("\"{address}\"")).collect();
     let ttl = TTL.min(settings.bounds.ttl_most) / 1_000;
     Some(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(",")))
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,20 +1,28 @@
-//! The parts of the whole system's one program: [`service`] starts a process, [`core`] is a core machine, [`edge`] a limiter,
-//! [`switch`] a client's request, [`control`] the calls of servers and operators, [`link`] what processes say to each other.
+//! The one program of the whole system. What a process does follows from its settings: one with a frontend is a gateway (a limiter
+//! that clients reach), one without is a replica of the control plane.
 //!
-//! Decisions stand in the packages below; here are sockets, timers and what connects them. A library, so that many limiters
-//! can run in one process: hollow ones, for runs at a size that one machine could not hold otherwise.
+//! | module | concern |
+//! | --- | --- |
+//! | [`process`] | start, signals, shutdown |
+//! | [`replica`], [`state_writer`], [`control_api`] | a control-plane replica: its sockets, its disk, the calls of servers and operators |
+//! | [`gateway`] | a gateway: what it knows, follows, leases and relays |
+//! | [`proxy`] | a client's request, from its first byte to its one response |
+//! | [`transport`] | calls between processes |
+//! | `directory`, `readiness`, `settings_watch`, [`clock`] | where clients go; probes; the settings file; time and random numbers |
+//!
+//! Decisions are made in the packages below; here are sockets, timers and what connects them. It is a library, so that many gateways
+//! can run in one process for runs at a size that one machine could not hold otherwise.
 #![forbid(unsafe_code)]
 
 pub mod clock;
-pub mod control;
-pub mod core;
-pub mod directory;
-pub mod disk;
-pub mod edge;
-pub mod front;
-pub mod link;
+pub mod control_api;
+mod directory;
+pub mod gateway;
 pub use limeway_control_plane::messages;
-pub mod outbound;
-pub mod service;
-pub mod switch;
-pub mod wanted;
+pub mod process;
+pub mod proxy;
+mod readiness;
+pub mod replica;
+mod settings_watch;
+pub mod state_writer;
+pub mod transport;
--- /dev/null
+++ b/crates/balancer/src/process.rs
@@ -0,0 +1,183 @@
+//! Start, signals and shutdown of a process.
+
+use crate::clock;
+use crate::control_api;
+use crate::gateway::Gateway;
+use crate::proxy::{self, ClientConnections};
+use crate::readiness;
+use crate::replica::{InitialState, Replica};
+use crate::settings_watch::watch_settings;
+use crate::state_writer::StateWriter;
+use crate::transport;
+use error_stack::{Report, ResultExt};
+use limeway_consensus::{Acceptor, NodeId};
+use limeway_control_plane::Event;
+use limeway_distribution::decode;
+use limeway_distribution::transfer::decompress;
+use limeway_routing_config::{Operation, State};
+use limeway_settings::Settings;
+use limeway_storage::Recovered;
+use std::fmt;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::time::{sleep, Instant};
+
+/// File descriptors that are not for clients.
+const RESERVED_FILE_DESCRIPTORS: usize = 700;
+/// Part of the grace period in which new connections are accepted after SIGTERM; the rest goes to requests in flight.
+const ACCEPTING_PART_OF_GRACE: f64 = 0.55;
+/// What is left of the grace period when the process exits in any case.
+const GRACE_MARGIN: Duration = Duration::from_millis(400);
+/// Interval at which requests in flight are looked at during shutdown.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+
+/// Why a process cannot start.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum StartError {
+    /// The settings file cannot be read or is invalid.
+    Settings,
+    /// An address cannot be listened at.
+    Listen(SocketAddr),
+    /// The disk cannot be used.
+    Disk,
+    /// Signals cannot be waited for.
+    Signals,
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StartError::Settings => f.write_str("the settings cannot be used"),
+            StartError::Listen(address) => write!(f, "cannot listen at {address}"),
+            StartError::Disk => f.write_str("the disk cannot be used"),
+            StartError::Signals => f.write_str("signals cannot be waited for"),
+        }
+    }
+}
+
+impl std::error::Error for StartError {}
+
+type StartResult<T> = Result<T, Report<StartError>>;
+
+/// Reads a settings file.
+///
+/// # Errors
+/// It cannot be read, or is invalid.
+pub fn settings(path: &Path) -> StartResult<Settings> {
+    let text = std::fs::read_to_string(path).change_context(StartError::Settings)?;
+    Settings::read(&text).change_context(StartError::Settings)
+}
+
+/// Runs the process that the settings describe, until it is shut down.
+///
+/// # Errors
+/// It cannot start.
+pub async fn run(settings: Settings) -> StartResult<()> {
+    clock::seed(NodeId::from(settings.ip));
+    let mut terminate = signal(SignalKind::terminate()).change_context(StartError::Signals)?;
+    let reload = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
+    if settings.frontend.is_some() {
+        run_gateway(settings, &mut terminate, reload).await
+    } else {
+        run_replica(settings, &mut terminate, reload).await
+    }
+}
+
+fn bind(address: SocketAddr) -> StartResult<TcpListener> {
+    transport::bind(address).change_context(StartError::Listen(address))
+}
+
+/// Where the other processes call this one.
+fn inner_address(settings: &Settings) -> SocketAddr {
+    SocketAddr::from((settings.ip, settings.inner.0))
+}
+
+async fn run_replica(settings: Settings, terminate: &mut Signal, reload: Signal) -> StartResult<()> {
+    let (initial, writer) = open_disk(&settings).await?;
+    let (inner, is_new) = (inner_address(&settings), initial.is_new);
+    let api_addresses = [settings.control, settings.directory];
+    let replica = Replica::new(settings, initial, writer);
+    let answering = replica.clone();
+    tokio::task::spawn_local(transport::listen(bind(inner)?, move |call| answering.clone().answer(call)));
+    for address in api_addresses.into_iter().flatten() {
+        tokio::task::spawn_local(control_api::listen(replica.clone(), bind(address)?));
+    }
+    log::info!(slot = replica.control_plane().state().slot, is_new; "control-plane replica started");
+    let reloaded = replica.clone();
+    tokio::task::spawn_local(watch_settings(reload, move |settings| {
+        reloaded.handle(Event::SeedsChanged(transport::nodes(&settings.seeds)));
+    }));
+    tokio::task::spawn_local(replica.clone().run());
+    terminate.recv().await;
+    // Calls in flight end meanwhile, and the vote passes on; what was acknowledged is on disk.
+    replica.handle(Event::Shutdown);
+    replica.exited.notified().await;
+    Ok(())
+}
+
+/// Opens the disk, if the machine has one, and restores the state from it.
+async fn open_disk(settings: &Settings) -> StartResult<(InitialState, StateWriter)> {
+    let Some(directory) = &settings.data else {
+        let initial = InitialState { acceptor: Acceptor::default(), state: State::default(), is_new: true };
+        return Ok((initial, StateWriter::none()));
+    };
+    // All disks of the initial start have one incarnation; later ones are told apart.
+    let fresh = if settings.first_start { 0 } else { clock::random() | 1 };
+    let opened = StateWriter::open(directory.clone(), NodeId::from(settings.ip), fresh).await;
+    let (writer, recovered) = opened.change_context(StartError::Disk)?;
+    let (acceptor, is_new) = (recovered.acceptor.clone(), recovered.is_new);
+    let state = restore(recovered).ok_or(StartError::Disk)?;
+    Ok((InitialState { acceptor, state, is_new }, writer))
+}
+
+/// The state that a snapshot and the operations since make; nothing if they are malformed.
+fn restore(recovered: Recovered) -> Option<State> {
+    let mut state: State = match recovered.snapshot {
+        Some((_, encoded)) => decode(&encoded)?,
+        None => State::default(),
+    };
+    let applied = recovered.acceptor.applied;
+    for (_, compressed) in recovered.operations.iter().filter(|(slot, _)| *slot <= applied) {
+        state.apply(&decode::<Operation>(&decompress(compressed)?)?);
+    }
+    (state.slot == applied).then_some(state)
+}
+
+async fn run_gateway(settings: Settings, terminate: &mut Signal, reload: Signal) -> StartResult<()> {
+    let (inner, frontend) = (inner_address(&settings), settings.frontend);
+    let probe_addresses = [settings.readiness, settings.directory];
+    let grace = Duration::from_micros(settings.bounds.grace);
+    let clients = ClientConnections::new(settings.fds.saturating_sub(RESERVED_FILE_DESCRIPTORS));
+    let gateway = Gateway::new(settings);
+    let answering = gateway.clone();
+    tokio::task::spawn_local(transport::listen(bind(inner)?, move |call| answering.clone().answer(call)));
+    for address in probe_addresses.into_iter().flatten() {
+        tokio::task::spawn_local(readiness::listen(gateway.clone(), bind(address)?));
+    }
+    let reloaded = gateway.clone();
+    tokio::task::spawn_local(watch_settings(reload, move |settings| reloaded.reload(&settings)));
+    gateway.spawn_tasks();
+    tokio::task::spawn_local(proxy::log_traffic(gateway.clone(), clients.clone()));
+    let mut accepting = None;
+    if let Some(address) = frontend {
+        let listening = proxy::listen(gateway.clone(), clients.clone(), bind(address)?);
+        accepting = Some(tokio::task::spawn_local(listening));
+    }
+    terminate.recv().await;
+    let started = Instant::now();
+    log::info!("shutting down");
+    gateway.drain();
+    clients.start_draining();
+    sleep(grace.mul_f64(ACCEPTING_PART_OF_GRACE)).await;
+    if let Some(accepting) = accepting {
+        accepting.abort();
+    }
+    clients.close_idle();
+    while clients.any_busy() && started.elapsed() < grace.saturating_sub(GRACE_MARGIN) {
+        sleep(DRAIN_CHECK_INTERVAL).await;
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -0,0 +1,248 @@
+//! The attempts of one request at servers. What may follow an attempt is decided by [`limeway_load_balancing::verdict`], which server
+//! is next by its [`limeway_load_balancing::Selector`].
+
+use super::local_response::LocalResponse;
+use super::request::{pick_service, route, RoutedRequest};
+use super::upstream::{UpstreamRequest, UpstreamResult};
+use crate::clock::now;
+use crate::gateway::Gateway;
+use limeway_http1::conn::Reply;
+use limeway_http1::inbound::Message;
+use limeway_load_balancing::verdict::{nowhere, End, Head, Learnt, Next, Try};
+use limeway_load_balancing::Outcome;
+use limeway_types::{Micros, Timestamp};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// Upper bound on the attempts of one request, whatever a route allows.
+const MAX_ATTEMPTS: u32 = 4;
+/// An idempotent request may leave a server for another after this many times the server's usual latency.
+const HEDGE_LATENCY_FACTOR: f64 = 4.0;
+/// The least time after which it may.
+const MIN_HEDGE_DELAY: Micros = 350_000;
+/// One in so many parts of its latency target a request waits for a server with room.
+const CAPACITY_WAIT_DIVISOR: u64 = 5;
+/// Interval at which a server with room is looked for.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(15);
+/// One in so many parts of the time left stands for the latency of a server that is not known.
+const UNKNOWN_LATENCY_DIVISOR: Micros = 3;
+
+/// Serves a request: with a server's response, or one of our own. `server_time` is set to the time at the server if its first attempt
+/// was answered.
+pub(super) async fn handle(
+    gateway: &Rc<Gateway>,
+    message: &Message,
+    server_time: &Cell<Micros>,
+) -> Result<Reply, LocalResponse> {
+    let started = now();
+    let RoutedRequest { route, tenant, upstream, time_left } = route(gateway, message)?;
+    let service = pick_service(&route);
+    let tenant_regions: &[String] = tenant.as_ref().map_or(&[], |tenant| &tenant.allowed_regions);
+    let allowed_regions: [&[String]; 2] = [&route.allowed_regions, tenant_regions];
+    if nowhere(allowed_regions) {
+        // Both bind, and have no region in common: no attempt at any time can be served, and no unit is spent on it.
+        return Err(LocalResponse::new(503));
+    }
+    gateway.retries.borrow_mut().first(started, &service);
+    if let Some(tenant) = &tenant {
+        let unit = gateway.take_unit(&tenant.name, tenant.rate_per_second, tenant.burst_size).await;
+        unit.map_err(|wait| LocalResponse::retry_after(429, wait as f64 / 1e6))?;
+    }
+    let mut attempts = Attempts {
+        gateway,
+        service: &service,
+        allowed_regions,
+        request: &upstream,
+        deadline: started + time_left,
+        tried: Vec::new(),
+        hedge: None,
+    };
+    let verdict = Try::new(upstream.idempotent, route.max_attempts.min(MAX_ATTEMPTS));
+    attempts.run(verdict, started + route.target_latency / CAPACITY_WAIT_DIVISOR, server_time).await
+}
+
+/// A server that was chosen for an attempt.
+#[derive(Clone)]
+struct ChosenServer {
+    id: Rc<str>,
+    in_slow_start: bool,
+}
+
+/// The attempts of one request.
+struct Attempts<'a> {
+    gateway: &'a Gateway,
+    service: &'a Rc<str>,
+    allowed_regions: [&'a [String]; 2],
+    request: &'a UpstreamRequest,
+    deadline: Timestamp,
+    tried: Vec<Rc<str>>,
+    /// Chosen, and paid for from the retry budget, while the last one did not respond.
+    hedge: Option<ChosenServer>,
+}
+
+impl Attempts<'_> {
+    /// Tries servers until one answers, or none may be tried any more.
+    async fn run(
+        &mut self,
+        mut verdict: Try,
+        capacity_deadline: Timestamp,
+        server_time: &Cell<Micros>,
+    ) -> Result<Reply, LocalResponse> {
+        let mut failure = None;
+        while verdict.may_go_on() && now() < self.deadline {
+            let Some(server) = self.next_server(&verdict, capacity_deadline).await else { break };
+            self.tried.push(server.id.clone());
+            let sent = now();
+            let Some((learnt, reply)) = self.attempt(&verdict, &server).await else { continue };
+            match (verdict.learn(learnt), reply) {
+                (Next::Pass, Some(reply)) => {
+                    // If it took more than one attempt, the other time is not ours alone.
+                    server_time.set(if self.tried.len() == 1 { now() - sent } else { 0 });
+                    return Ok(reply);
+                }
+                (_, Some(reply)) if learnt == Learnt::Failed => failure = Some(reply),
+                _ => {}
+            }
+        }
+        match (verdict.end(now() >= self.deadline), failure) {
+            (End::Failure, Some(reply)) => Ok(reply),
+            (End::Failure | End::Unknown, _) => Err(LocalResponse::new(502)),
+            (End::Late, _) => Err(LocalResponse::new(504)),
+            (End::Promise, _) => Err(LocalResponse::unavailable()),
+        }
+    }
+
+    /// The next server. Waits a little for one with room while no server may have executed the request.
+    async fn next_server(&mut self, verdict: &Try, capacity_deadline: Timestamp) -> Option<ChosenServer> {
+        if let Some(chosen) = self.hedge.take() {
+            return Some(chosen);
+        }
+        let is_first = verdict.sent() == 0;
+        let wait_until = if is_first { capacity_deadline.min(self.deadline) } else { 0 };
+        let chosen = loop {
+            match self.choose(false) {
+                Some(chosen) => break chosen,
+                None if now() >= wait_until => return None,
+                None => sleep(CAPACITY_POLL_INTERVAL).await,
+            }
+        };
+        // What has reached no server is no retry.
+        (is_first || self.pay_for_retry()).then_some(chosen)
+    }
+
+    /// Chooses a server that was not tried yet; only a healthy one if the request is at a server already.
+    fn choose(&self, healthy_only: bool) -> Option<ChosenServer> {
+        let candidates = self.gateway.endpoints.candidates(self.service, self.allowed_regions);
+        let mut selector = self.gateway.endpoints.selector.borrow_mut();
+        let id = if healthy_only {
+            selector.choose_instead(now(), &candidates, &self.tried)
+        } else {
+            selector.choose(now(), &candidates, &self.tried)
+        }?;
+        let in_slow_start = candidates.iter().any(|candidate| candidate.id == id && candidate.cold.is_some());
+        Some(ChosenServer { id, in_slow_start })
+    }
+
+    fn pay_for_retry(&self) -> bool {
+        let slack = self.gateway.share_of(self.gateway.settings.bounds.retry_slack);
+        self.gateway.retries.borrow_mut().again(now(), self.service, slack)
+    }
+
+    /// Whether to leave a server that does not respond: only for a healthy one, within the retry budget. Not during shutdown: what a
+    /// server works on is not cancelled then.
+    fn hedges(&mut self) -> bool {
+        if self.gateway.is_draining() {
+            return false;
+        }
+        self.hedge = self.choose(true).filter(|_| self.pay_for_retry());
+        self.hedge.is_some()
+    }
+
+    /// One attempt at a server: what it teaches, and the response, if there is one. None if the server is gone meanwhile.
+    async fn attempt(&mut self, verdict: &Try, server: &ChosenServer) -> Option<(Learnt, Option<Reply>)> {
+        let gateway = self.gateway;
+        let target = gateway.endpoints.connect_target(self.service, &server.id)?;
+        let started = now();
+        gateway.endpoints.selector.borrow_mut().sent(started, &server.id, server.in_slow_start);
+        let report = OutcomeReport { gateway, id: &server.id, reported: Cell::new(false) };
+        let hedge_delay = self.hedge_delay(started, &server.id);
+        let sent = Cell::new(false);
+        let exchange =
+            gateway.endpoints.pools.exchange(&server.id, target, self.request, self.deadline, &sent);
+        tokio::pin!(exchange);
+        let result = loop {
+            let left = self.deadline.saturating_sub(now());
+            let wait = if verdict.may_leave() { hedge_delay.min(left) } else { left };
+            match timeout(Duration::from_micros(wait), &mut exchange).await {
+                Ok(result) => break Some(result),
+                Err(_) if now() >= self.deadline || self.hedges() => break None,
+                Err(_) => {}
+            }
+        };
+        let (learnt, reply, outcome) = assess(result, now() - started, sent.get());
+        report.report(outcome);
+        Some((learnt, reply))
+    }
+
+    /// How long a server may take before the request may leave it.
+    fn hedge_delay(&self, started: Timestamp, id: &Rc<str>) -> Micros {
+        let left = self.deadline.saturating_sub(started);
+        let usual = self.gateway.endpoints.selector.borrow().usual(id);
+        let usual = usual.unwrap_or(left / UNKNOWN_LATENCY_DIVISOR);
+        ((HEDGE_LATENCY_FACTOR * usual as f64) as Micros).max(MIN_HEDGE_DELAY)
+    }
+}
+
+/// What an attempt teaches, for the request and for the choice of servers.
+fn assess(result: Option<UpstreamResult>, took: Micros, sent: bool) -> (Learnt, Option<Reply>, Outcome) {
+    match result {
+        Some(UpstreamResult::Response(reply)) => {
+            let learnt = response_head(&reply).learnt();
+            let outcome = match learnt {
+                Learnt::Answer | Learnt::Failed => Outcome::Answered(took),
+                Learnt::NotRun => Outcome::Full,
+                Learnt::Moved => Outcome::Moved,
+                Learnt::Unsent | Learnt::Lost => Outcome::Broke,
+            };
+            (learnt, Some(reply), outcome)
+        }
+        Some(UpstreamResult::NotSent) => (Learnt::Unsent, None, Outcome::Broke),
+        Some(UpstreamResult::Broken) => (Learnt::Lost, None, Outcome::Broke),
+        None if sent => (Learnt::Lost, None, Outcome::Silent(took)),
+        None => (Learnt::Unsent, None, Outcome::Silent(took)),
+    }
+}
+
+fn response_head(reply: &Reply) -> Head {
+    let has = |name| reply.head.header(&reply.bytes, name).is_some();
+    Head {
+        status: reply.head.status,
+        not_executed: has("limeway-not-executed"),
+        stamped: has("limeway-server-stamp"),
+        encoded: has("content-encoding"),
+    }
+}
+
+/// Reports to the selector how an attempt ended, also if the client goes away in the middle of it.
+struct OutcomeReport<'a> {
+    gateway: &'a Gateway,
+    id: &'a Rc<str>,
+    reported: Cell<bool>,
+}
+
+impl OutcomeReport<'_> {
+    fn report(&self, outcome: Outcome) {
+        self.reported.set(true);
+        self.gateway.endpoints.selector.borrow_mut().ended(now(), self.id, outcome);
+    }
+}
+
+impl Drop for OutcomeReport<'_> {
+    fn drop(&mut self) {
+        if !self.reported.get() {
+            self.report(Outcome::Dropped);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/proxy/local_response.rs
@@ -0,0 +1,44 @@
+//! Responses of this gateway's own.
+
+use limeway_http1::http;
+use std::io::Write;
+
+/// When to retry if nothing can be served now, in seconds.
+pub(super) const RETRY_AFTER_SECONDS: f64 = 0.25;
+
+/// A response of this gateway's own.
+pub(super) struct LocalResponse {
+    /// Its status.
+    pub status: u16,
+    /// Seconds until a retry makes sense.
+    retry_after: Option<f64>,
+}
+
+impl LocalResponse {
+    /// A response without advice to retry.
+    pub fn new(status: u16) -> Self {
+        LocalResponse { status, retry_after: None }
+    }
+
+    /// A response with the advice to retry after so many seconds.
+    pub fn retry_after(status: u16, seconds: f64) -> Self {
+        LocalResponse { status, retry_after: Some(seconds) }
+    }
+
+    /// 503, with the usual advice to retry.
+    pub fn unavailable() -> Self {
+        LocalResponse::retry_after(503, RETRY_AFTER_SECONDS)
+    }
+
+    /// The response as bytes; `close` ends the connection.
+    pub fn to_bytes(&self, close: bool) -> Vec<u8> {
+        let mut headers = Vec::new();
+        if let Some(seconds) = self.retry_after {
+            // Writing to memory does not fail.
+            let _ = write!(headers, "Retry-After: {seconds:.3}\r\n");
+        }
+        let mut out = Vec::new();
+        http::write_answer(&mut out, self.status, &headers, close, b"");
+        out
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/proxy/upstream.rs
@@ -0,0 +1,261 @@
+//! Connections to servers, and one attempt at one server.
+
+use crate::clock::now;
+use crate::gateway::ConnectTarget;
+use limeway_http1::conn::{Broken, Conn, Reply};
+use limeway_types::{Micros, Timestamp};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::hash::{DefaultHasher, Hasher};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// A connection that was idle for longer is not used: the server may be closing it, or have forgotten it.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(3_000);
+/// The same for requests that must not be executed twice: how they ended could not be told.
+const MAX_IDLE_TIME_NOT_IDEMPOTENT: Duration = Duration::from_millis(1_200);
+/// A connection is not used so long before its server closes it, if the server says when that is.
+const CLOSE_MARGIN: Duration = Duration::from_millis(500);
+/// How long a new connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// A server's machine that has not acknowledged bytes for so long is gone or cut off: nothing comes any more.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(400);
+/// Request ids that are remembered of a connection: a surplus response to one of them may still come.
+const REMEMBERED_IDS: usize = 4;
+/// Upper bound on the surplus responses that are skipped on one connection.
+const MAX_SURPLUS_RESPONSES: usize = 3;
+/// Connections that are always allowed.
+const MIN_CONNECTIONS: usize = 8;
+/// Room for what depends on the attempt, in bytes.
+const ATTEMPT_HEADER_BYTES: usize = 128;
+
+/// A request as it goes to a server.
+pub struct UpstreamRequest {
+    /// Request line and headers, without what depends on the attempt and the last empty line.
+    pub head: Vec<u8>,
+    /// The body.
+    pub body: Vec<u8>,
+    /// Its id.
+    pub id: Vec<u8>,
+    /// It may be executed more than once.
+    pub idempotent: bool,
+}
+
+/// The result of an attempt.
+pub enum UpstreamResult {
+    /// A complete response to this request.
+    Response(Reply),
+    /// No connection: the server has not seen the request.
+    NotSent,
+    /// The request was sent, and no usable response came.
+    Broken,
+}
+
+/// A connection that is not in use.
+struct IdleConnection {
+    conn: Conn,
+    /// The server closes it, or may, after so long.
+    max_idle_time: Duration,
+    /// Hashes of the newest request ids that were sent on it.
+    ids: [u64; REMEMBERED_IDS],
+}
+
+impl IdleConnection {
+    fn is_usable(&self) -> bool {
+        self.conn.idle() < self.max_idle_time && self.conn.quiet()
+    }
+}
+
+/// A connection in use.
+struct ActiveConnection {
+    conn: Conn,
+    ids: [u64; REMEMBERED_IDS],
+}
+
+/// Idle connections by server.
+pub struct ConnectionPools {
+    idle: RefCell<HashMap<Rc<str>, Vec<IdleConnection>>>,
+    count: Rc<Cell<usize>>,
+    max_connections: usize,
+}
+
+impl ConnectionPools {
+    /// At most so many connections.
+    pub fn new(max_connections: usize) -> Self {
+        ConnectionPools {
+            idle: RefCell::default(),
+            count: Rc::default(),
+            max_connections: max_connections.max(MIN_CONNECTIONS),
+        }
+    }
+
+    /// Drops the connections to servers that may not be used any more.
+    pub fn retain(&self, keep: impl Fn(&str) -> bool) {
+        self.idle.borrow_mut().retain(|id, _| keep(id));
+    }
+
+    /// Drops what is idle for too long or was closed.
+    pub fn prune(&self) {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(IdleConnection::is_usable);
+            !connections.is_empty()
+        });
+    }
+
+    /// Sends a request to a server and reads its response, until `deadline`. `sent` is set once the server may have seen it.
+    pub async fn exchange(
+        &self,
+        id: &Rc<str>,
+        target: ConnectTarget,
+        request: &UpstreamRequest,
+        deadline: Timestamp,
+        sent: &Cell<bool>,
+    ) -> UpstreamResult {
+        let Some(mut active) = self.connection(id, target, request).await else {
+            return UpstreamResult::NotSent;
+        };
+        let left = deadline.saturating_sub(now());
+        if left == 0 {
+            return UpstreamResult::NotSent;
+        }
+        // Silence is no reason to end a response sooner than the request ends.
+        active.conn.patient(Duration::from_micros(left));
+        let message = attempt_message(request, id, left);
+        sent.set(true);
+        if active.conn.write(&message, &Cell::new(false)).await.is_err() {
+            self.idle.borrow_mut().remove(id);
+            return UpstreamResult::Broken;
+        }
+        self.read_response(id, target, request, active).await
+    }
+
+    /// An idle connection, or a new one.
+    async fn connection(
+        &self,
+        id: &Rc<str>,
+        target: ConnectTarget,
+        request: &UpstreamRequest,
+    ) -> Option<ActiveConnection> {
+        if let Some(idle) = self.take_idle(id, request) {
+            return Some(ActiveConnection { conn: idle.conn, ids: idle.ids });
+        }
+        if self.count.get() >= self.max_connections {
+            self.idle.borrow_mut().clear();
+            if self.count.get() >= self.max_connections {
+                return None;
+            }
+        }
+        let connected = timeout(CONNECT_TIMEOUT, Conn::open(target.address.into(), &self.count)).await;
+        let mut conn = connected.ok()?.ok()?;
+        conn.strict();
+        if let Err(e) = conn.reach(UNACKNOWLEDGED_TIMEOUT) {
+            log::debug!(server = &**id; "cannot bound unacknowledged data: {e}");
+        }
+        Some(ActiveConnection { conn, ids: [0; REMEMBERED_IDS] })
+    }
+
+    /// An idle connection for this request: none that has carried its id, as a response to that may still come late and would be taken
+    /// for its own (two clients may use one id).
+    fn take_idle(&self, id: &Rc<str>, request: &UpstreamRequest) -> Option<IdleConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(id)?;
+        let max_idle_time = if request.idempotent { MAX_IDLE_TIME } else { MAX_IDLE_TIME_NOT_IDEMPOTENT };
+        let own_id = hash(&request.id);
+        loop {
+            // The one used last is the least likely to be closing.
+            let may_use = |c: &IdleConnection| {
+                c.conn.idle() < max_idle_time.min(c.max_idle_time) && !c.ids.contains(&own_id)
+            };
+            let at = connections.iter().rposition(may_use)?;
+            let connection = connections.remove(at);
+            if connection.conn.quiet() {
+                return Some(connection);
+            }
+        }
+    }
+
+    async fn read_response(
+        &self,
+        id: &Rc<str>,
+        target: ConnectTarget,
+        request: &UpstreamRequest,
+        mut active: ActiveConnection,
+    ) -> UpstreamResult {
+        let mut had_surplus = false;
+        for _ in 0..=MAX_SURPLUS_RESPONSES {
+            let reply = match active.conn.read().await {
+                Ok(reply) => reply,
+                Err(e) => {
+                    if matches!(e, Broken::Ended(_)) {
+                        // The server itself may be gone: its other connections are of no use then.
+                        self.idle.borrow_mut().remove(id);
+                    }
+                    log::debug!(server = &**id; "{e}");
+                    return UpstreamResult::Broken;
+                }
+            };
+            if !is_response_to(request, &reply) {
+                // A surplus response to an earlier request: ours is still to come.
+                had_surplus = true;
+                continue;
+            }
+            if reply.keep && !had_surplus {
+                self.keep(id, target, request, active, &reply);
+            }
+            return UpstreamResult::Response(reply);
+        }
+        UpstreamResult::Broken
+    }
+
+    /// Keeps a connection for later requests.
+    fn keep(
+        &self,
+        id: &Rc<str>,
+        target: ConnectTarget,
+        request: &UpstreamRequest,
+        mut active: ActiveConnection,
+        reply: &Reply,
+    ) {
+        let stated = reply.head.kept_for(&reply.bytes).map(Duration::from_secs);
+        let max_idle_time =
+            stated.map_or(MAX_IDLE_TIME, |stated| stated.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME));
+        active.conn.rest();
+        active.ids.rotate_right(1);
+        active.ids[0] = hash(&request.id);
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(id.clone()).or_default();
+        if connections.len() < target.max_connections as usize {
+            connections.push(IdleConnection { conn: active.conn, max_idle_time, ids: active.ids });
+        }
+    }
+}
+
+fn is_response_to(request: &UpstreamRequest, reply: &Reply) -> bool {
+    matches!(reply.head.only(&reply.bytes, "limeway-request-id"), Ok(Some(id)) if id == request.id)
+}
+
+fn hash(id: &[u8]) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    hasher.write(id);
+    // 0 stands for no id.
+    hasher.finish() | 1
+}
+
+/// The request with what depends on the attempt.
+fn attempt_message(request: &UpstreamRequest, instance: &str, left: Micros) -> Vec<u8> {
+    let mut digits = itoa::Buffer::new();
+    let mut out = Vec::with_capacity(request.head.len() + request.body.len() + ATTEMPT_HEADER_BYTES);
+    out.extend_from_slice(&request.head);
+    out.extend_from_slice(b"Limeway-Deadline-Ms: ");
+    out.extend_from_slice(digits.format((left / 1_000).max(1)).as_bytes());
+    out.extend_from_slice(b"\r\nLimeway-Expect-Instance: ");
+    out.extend_from_slice(instance.as_bytes());
+    if !request.body.is_empty() || !request.head.starts_with(b"GET ") {
+        out.extend_from_slice(b"\r\nContent-Length: ");
+        out.extend_from_slice(digits.format(request.body.len()).as_bytes());
+    }
+    out.extend_from_slice(b"\r\n\r\n");
+    out.extend_from_slice(&request.body);
+    out
+}
--- /dev/null
+++ b/crates/balancer/src/replica.rs
@@ -0,0 +1,214 @@
+//! A control-plane replica's sockets, disk and clock: the actions of its [`ControlPlane`] are performed here, and their results are
+//! its events.
+
+use crate::clock::{self, now};
+use crate::messages::{Call, Reply};
+use crate::state_writer::StateWriter;
+use crate::transport::{self, Channels};
+use limeway_consensus::{Acceptor, NodeId};
+use limeway_control_plane::{
+    Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, RequestId, StartOptions, WriteId,
+};
+use limeway_quota::Rule;
+use limeway_routing_config::State;
+use limeway_settings::Settings;
+use limeway_types::{Micros, Timestamp};
+use std::cell::{Cell, Ref, RefCell};
+use std::collections::HashMap;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, Notify};
+
+/// Upper bound on the writes under way; more than the state machine ever has.
+const MAX_WRITES: usize = 256;
+/// Upper bound on the callers that wait for an answer.
+const MAX_CALLERS: usize = 8_192;
+
+/// A caller that waits for an answer.
+enum Caller {
+    Process(oneshot::Sender<Reply>),
+    Api(oneshot::Sender<ApiResponse>),
+}
+
+/// A write under way, and whether it is on disk in the end.
+struct PendingWrite {
+    id: WriteId,
+    result: Pin<Box<dyn Future<Output = bool>>>,
+}
+
+/// What was found on disk.
+pub struct InitialState {
+    /// The acceptor.
+    pub acceptor: Acceptor,
+    /// The agreed state.
+    pub state: State,
+    /// The disk was empty.
+    pub is_new: bool,
+}
+
+/// A replica of the control plane.
+pub struct Replica {
+    /// Its settings.
+    pub settings: Settings,
+    control_plane: RefCell<ControlPlane>,
+    writer: StateWriter,
+    writes: mpsc::Sender<PendingWrite>,
+    pending_writes: Cell<Option<mpsc::Receiver<PendingWrite>>>,
+    channels: Channels,
+    callers: RefCell<HashMap<CallerId, Caller>>,
+    last_caller: Cell<CallerId>,
+    /// When the next tick is due.
+    next_tick: Cell<Timestamp>,
+    tick_moved: Notify,
+    /// The process may exit: the state machine says when.
+    pub exited: Notify,
+}
+
+impl Replica {
+    /// A replica that starts with what was found on its disk.
+    pub fn new(settings: Settings, initial: InitialState, writer: StateWriter) -> Rc<Self> {
+        let options = StartOptions {
+            node: NodeId::from(settings.ip),
+            incarnation: clock::random() | 1,
+            ack_timeout: settings.bounds.ack_timeout,
+            loss_counted: settings.counted && settings.data.is_some(),
+            tolerated_losses: settings.losses,
+            quota_rule: quota_rule(&settings),
+            server_heartbeat: settings.heartbeat,
+            seeds: transport::nodes(&settings.seeds),
+            initial_start: initial.is_new && settings.first_start,
+            acceptor: initial.acceptor,
+            state: initial.state,
+        };
+        let mut actions = Vec::new();
+        let control_plane = ControlPlane::new(now(), options, &mut actions);
+        let (writes, pending_writes) = mpsc::channel(MAX_WRITES);
+        let replica = Rc::new(Replica {
+            writes,
+            pending_writes: Cell::new(Some(pending_writes)),
+            control_plane: RefCell::new(control_plane),
+            writer,
+            channels: Channels::new(settings.inner.0),
+            callers: RefCell::default(),
+            last_caller: Cell::new(0),
+            next_tick: Cell::new(0),
+            tick_moved: Notify::new(),
+            exited: Notify::new(),
+            settings,
+        });
+        replica.perform(actions);
+        replica
+    }
+
+    /// The state machine, to be read.
+    pub fn control_plane(&self) -> Ref<'_, ControlPlane> {
+        self.control_plane.borrow()
+    }
+
+    /// Hands the state machine an event, and performs its actions.
+    pub fn handle(self: &Rc<Self>, event: Event) {
+        let mut actions = Vec::new();
+        let next_tick = {
+            let mut control_plane = self.control_plane.borrow_mut();
+            control_plane.handle(now(), event, &mut actions);
+            control_plane.next_tick()
+        };
+        self.perform(actions);
+        if next_tick < self.next_tick.get() {
+            self.next_tick.set(next_tick);
+            self.tick_moved.notify_one();
+        }
+    }
+
+    fn perform(self: &Rc<Self>, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send { request, to, call, timeout } => self.send(request, to, call, timeout),
+                Action::Reply(caller, reply) => {
+                    if let Some(Caller::Process(waiting)) = self.callers.borrow_mut().remove(&caller) {
+                        // The caller may be gone.
+                        let _ = waiting.send(reply);
+                    }
+                }
+                Action::Respond(caller, response) => {
+                    if let Some(Caller::Api(waiting)) = self.callers.borrow_mut().remove(&caller) {
+                        // The caller may be gone.
+                        let _ = waiting.send(response);
+                    }
+                }
+                Action::Write(id, record) => {
+                    let result = Box::pin(self.writer.write(record));
+                    if let Err(e) = self.writes.try_send(PendingWrite { id, result }) {
+                        log::error!("too many writes under way: {e}");
+                    }
+                }
+                Action::Exit => self.exited.notify_one(),
+            }
+        }
+    }
+
+    fn send(self: &Rc<Self>, request: RequestId, to: NodeId, call: Call, timeout: Micros) {
+        let (replica, channel) = (self.clone(), self.channels.to(to));
+        tokio::task::spawn_local(async move {
+            let reply = channel.call(&call, Duration::from_micros(timeout)).await.ok();
+            replica.handle(Event::Reply(request, reply));
+        });
+    }
+
+    fn add_caller(&self, caller: Caller) -> Option<CallerId> {
+        let mut callers = self.callers.borrow_mut();
+        if callers.len() >= MAX_CALLERS {
+            return None;
+        }
+        self.last_caller.set(self.last_caller.get() + 1);
+        callers.insert(self.last_caller.get(), caller);
+        Some(self.last_caller.get())
+    }
+
+    /// Answers a call of another process.
+    pub async fn answer(self: Rc<Self>, call: Call) -> Reply {
+        let (sender, reply) = oneshot::channel();
+        let Some(caller) = self.add_caller(Caller::Process(sender)) else { return Reply::Declined };
+        self.handle(Event::Call(caller, call));
+        reply.await.unwrap_or(Reply::Declined)
+    }
+
+    /// Answers a server or an operator.
+    pub async fn answer_api(self: &Rc<Self>, request: ApiRequest) -> ApiResponse {
+        let (sender, response) = oneshot::channel();
+        let Some(caller) = self.add_caller(Caller::Api(sender)) else { return ApiResponse::Indeterminate };
+        self.handle(Event::ApiCall(caller, request));
+        response.await.unwrap_or(ApiResponse::Indeterminate)
+    }
+
+    /// Hands the state machine ticks and results of writes, for ever.
+    pub async fn run(self: Rc<Self>) {
+        let Some(pending_writes) = self.pending_writes.take() else { return };
+        tokio::task::spawn_local(self.clone().complete_writes(pending_writes));
+        loop {
+            let next_tick = self.control_plane.borrow().next_tick();
+            self.next_tick.set(next_tick);
+            let left = Duration::from_micros(next_tick.saturating_sub(now()));
+            tokio::select! {
+                () = self.tick_moved.notified() => {}
+                () = tokio::time::sleep(left) => self.handle(Event::Tick),
+            }
+        }
+    }
+
+    /// Waits for writes in their order: the result of a record is known before that of one that builds on it.
+    async fn complete_writes(self: Rc<Self>, mut pending: mpsc::Receiver<PendingWrite>) {
+        while let Some(PendingWrite { id, result }) = pending.recv().await {
+            let done = result.await;
+            self.handle(Event::WriteCompleted(id, done));
+        }
+    }
+}
+
+/// The figures of the quota rule.
+pub fn quota_rule(settings: &Settings) -> Rule {
+    let bounds = &settings.bounds;
+    Rule { window: bounds.quota_window, overshoot: bounds.quota_overshoot, slack: bounds.quota_slack }
+}
--- a/crates/testing/load-generator/src/scale.rs
+++ b/crates/testing/load-generator/src/scale.rs
@@ -4,8 +4,8 @@
 
 use crate::slopes::configuration;
 use crate::system::{call, settings, System};
-use limeway_balancer::edge::Edge;
-use limeway_balancer::{clock, link};
+use limeway_balancer::gateway::Gateway;
+use limeway_balancer::{clock, transport};
 use limeway_http1::conn::Conn;
 use limeway_settings::Settings;
 use std::cell::Cell;
@@ -44,7 +44,7 @@
 
 /// A hollow limiter, with all that runs for it: it ends at once, connections and all, when this is dropped.
 struct Hollow {
-    edge: Rc<Edge>,
+    edge: Rc<Gateway>,
     zone: usize,
     running: JoinHandle<()>,
 }
@@ -71,13 +71,13 @@
         let text = settings(ip, zone, &self.system.zones, &self.seeds, &listens, false);
         let settings = Settings::read(&text).map_err(|e| io::Error::other(format!("{e:?}")))?;
         let inner = SocketAddr::from((ip, settings.inner.0));
-        let edge = Edge::new(settings);
-        let listener = link::bind(inner)?;
+        let edge = Gateway::new(settings);
+        let listener = transport::bind(inner)?;
         let set = LocalSet::new();
         let answering = edge.clone();
-        set.spawn_local(link::listen(listener, move |call| answering.clone().answer(call)));
+        set.spawn_local(transport::listen(listener, move |call| answering.clone().answer(call)));
         set.spawn_local(edge.clone().follow());
-        set.spawn_local(edge.clone().lease());
+        set.spawn_local(edge.clone().lease_quota());
         let running = spawn_local(set);
         self.hollow[n] = Some(Hollow { edge, zone, running });
         Ok(())
@@ -88,7 +88,7 @@
     }
 
     /// Waits until all live limiters are so far, and tells when each was: half of them, 99 in 100, and the last.
-    async fn until(&self, what: &str, mut so: impl FnMut(&Edge) -> bool) {
+    async fn until(&self, what: &str, mut so: impl FnMut(&Gateway) -> bool) {
         let begun = Instant::now();
         let mut left: Vec<&Hollow> = self.live().collect();
         let mut times: Vec<f64> = Vec::with_capacity(left.len());
@@ -117,7 +117,7 @@
     }
 
     fn versions(&self) -> (u32, u32) {
-        let versions = || self.live().map(|h| h.edge.plan().version);
+        let versions = || self.live().map(|h| h.edge.routing().version);
         (versions().min().unwrap_or(0), versions().max().unwrap_or(0))
     }
 
@@ -197,7 +197,7 @@
     for n in 0..size.limiters {
         run.start(n)?;
     }
-    run.until("start of all: sure of the configuration", Edge::ready).await;
+    run.until("start of all: sure of the configuration", Gateway::is_ready).await;
     let (limiters, servers) = (size.limiters, size.servers);
     run.until("start of all: every limiter and server known", |e| e.known() == (limiters, servers)).await;
     run.core("starting", &mut used, since);
@@ -214,7 +214,7 @@
         run.system.order("config.update", &body).await?;
         let acked = begun.elapsed().as_secs_f64();
         run.until(&format!("change {change}: in force (acknowledged in {acked:.3} s)"), |e| {
-            e.plan().version == change
+            e.routing().version == change
         })
         .await;
     }
@@ -226,7 +226,7 @@
     for n in (0..size.limiters).step_by(10) {
         run.start(n)?;
     }
-    run.until("a tenth starts anew at once: sure", Edge::ready).await;
+    run.until("a tenth starts anew at once: sure", Gateway::is_ready).await;
     run.core("a tenth starting anew", &mut used, since);
     since = Instant::now();
     let lost: Vec<usize> = (0..size.limiters).filter(|n| n % ZONES == 5).collect();
@@ -246,10 +246,10 @@
         run.system.run(at, false)?;
     }
     let back = clock::now();
-    run.until("all of the core restarted: sure again", |e| e.sure_since() > back).await;
+    run.until("all of the core restarted: sure again", |e| e.confirmed_at() > back).await;
     let body = format!("{{\"config-version\":\"{:08x}\",\"base-version\":\"{:08x}\",\"remove\":{{\"tenants\":[\"t000001\"]}}}}", 7, 6);
     run.system.order("config.update", &body).await?;
-    run.until("a change after it: in force", |e| e.plan().version == 7).await;
+    run.until("a change after it: in force", |e| e.routing().version == 7).await;
     let (least, most) = run.versions();
     let agreed = call(run.system.control()[0], "/-/rpc?call=config.read", "").await;
     let read = agreed
