--- a/crates/balancer/src/gateway/quota.rs
+++ b/crates/balancer/src/gateway/quota.rs
@@ -1,15 +1,17 @@
 //! A gateway's quota: units that it takes, leases, borrows from neighbours and lends. What is requested when is decided by
-//! [`limeway_quota::desk`]; here are its sockets and its clock.
+//! [`limeway_quota::lease_client`]; here are its sockets and its clock.
 
 use super::Gateway;
 use crate::clock::{self, now};
 use crate::messages::{Call, Reply};
 use crate::transport::CallError;
-use limeway_membership::{preferred_node, shard_of, NodeId};
-use limeway_quota::desk::{Desk, Errand, Outcome, Settled, Ticket};
-use limeway_quota::escrow::Take;
-use limeway_quota::{Rule, Span};
-use limeway_types::{Micros, ProcessIncarnation};
+use limeway_membership::{preferred_node, shard_of, Holder, NodeId};
+use limeway_quota::escrow::UnitResult;
+use limeway_quota::lease_client::{
+    LeaseClient, OutgoingRequest, QuotaReport, RequestOutcome, SettledWaiter, WaiterId,
+};
+use limeway_quota::{QuotaRule, WindowBudget};
+use limeway_types::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -30,15 +32,12 @@
 /// Weight of the mean against a new, higher latency: one in so many parts is new.
 const LATENCY_SMOOTHING: Micros = 8;
 
-/// A shard's holder, as the lease client takes it.
-type Holder = (NodeId, ProcessIncarnation);
-
 /// The quota that this gateway has leased, and the requests that wait for some.
 pub(super) struct QuotaClient {
-    client: RefCell<Desk>,
+    client: RefCell<LeaseClient>,
     /// Requests that wait for a unit.
-    waiters: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Micros>>>>,
-    rule: Rule,
+    waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Result<(), Micros>>>>,
+    rule: QuotaRule,
     /// Something is to be leased at once.
     lease_now: Notify,
     /// How long a counter takes to answer, about.
@@ -48,9 +47,9 @@
 }
 
 impl QuotaClient {
-    pub fn new(rule: Rule) -> Self {
+    pub fn new(rule: QuotaRule) -> Self {
         QuotaClient {
-            client: RefCell::new(Desk::new(rule.length(), clock::random() | 1)),
+            client: RefCell::new(LeaseClient::new(rule.window_length(), clock::random() | 1)),
             waiters: RefCell::default(),
             rule,
             lease_now: Notify::new(),
@@ -71,10 +70,10 @@
     }
 
     /// Tells waiting requests what has become of them.
-    fn settle(&self, settled: Vec<Settled>) {
+    fn settle(&self, settled: Vec<SettledWaiter>) {
         let mut waiters = self.waiters.borrow_mut();
-        for (ticket, result) in settled {
-            if let Some(waiter) = waiters.remove(&ticket) {
+        for SettledWaiter { id, result } in settled {
+            if let Some(waiter) = waiters.remove(&id) {
                 // Its client may be gone.
                 let _ = waiter.send(result);
             }
@@ -86,18 +85,18 @@
 struct UnitWait<'a> {
     quota: &'a QuotaClient,
     tenant: &'a str,
-    ticket: Option<Ticket>,
+    waiter_id: Option<WaiterId>,
     settled: bool,
 }
 
 impl Drop for UnitWait<'_> {
     fn drop(&mut self) {
-        match self.ticket {
+        match self.waiter_id {
             _ if self.settled => {}
-            None => self.quota.client.borrow_mut().spared(self.tenant),
-            Some(ticket) => {
-                self.quota.client.borrow_mut().leave(ticket);
-                self.quota.waiters.borrow_mut().remove(&ticket);
+            None => self.quota.client.borrow_mut().cancel_wait(self.tenant),
+            Some(waiter_id) => {
+                self.quota.client.borrow_mut().abandon(waiter_id);
+                self.quota.waiters.borrow_mut().remove(&waiter_id);
             }
         }
     }
@@ -106,12 +105,12 @@
 impl Gateway {
     fn holders(&self) -> Vec<Option<Holder>> {
         let cache = self.following.cache.borrow();
-        cache.holders.iter().map(|h| (h.node != 0).then_some((h.node, h.incarnation))).collect()
+        cache.holders.iter().map(|holder| (holder.node != 0).then_some(*holder)).collect()
     }
 
     fn holder(&self, shard: usize) -> Option<Holder> {
         let cache = self.following.cache.borrow();
-        cache.holders.get(shard).filter(|h| h.node != 0).map(|h| (h.node, h.incarnation))
+        cache.holders.get(shard).copied().filter(|holder| holder.node != 0)
     }
 
     /// Takes a unit of a tenant's quota for one request.
@@ -120,15 +119,15 @@
     /// There is none: how long until the next window begins.
     pub async fn take_unit(&self, tenant: &str, rate: f64, burst: f64) -> Result<(), Micros> {
         let quota = &self.quota;
-        let Some(span) = quota.rule.span(rate, burst) else { return Ok(()) };
+        let Some(span) = quota.rule.window_budget(rate, burst) else { return Ok(()) };
         let shard = shard_of(tenant);
         let holder = self.holder(shard);
         match quota.client.borrow_mut().take(now(), tenant, shard, holder, span) {
-            Take::Yes => return Ok(()),
-            Take::Dry(left) => return Err(left),
-            Take::Wait => quota.waited.set(quota.waited.get() + 1),
+            UnitResult::Granted => return Ok(()),
+            UnitResult::Exhausted(left) => return Err(left),
+            UnitResult::Wait => quota.waited.set(quota.waited.get() + 1),
         }
-        let mut wait = UnitWait { quota, tenant, ticket: None, settled: false };
+        let mut wait = UnitWait { quota, tenant, waiter_id: None, settled: false };
         if quota.is_counter_remote() && self.borrow_unit(tenant, shard).await {
             return Ok(());
         }
@@ -147,16 +146,16 @@
         false
     }
 
-    async fn wait_for_unit(&self, wait: &mut UnitWait<'_>, span: Span) -> Result<(), Micros> {
+    async fn wait_for_unit(&self, wait: &mut UnitWait<'_>, span: WindowBudget) -> Result<(), Micros> {
         let quota = &self.quota;
         let (sender, settled) = oneshot::channel();
-        let ticket = quota.client.borrow_mut().queue(now(), wait.tenant, span);
-        quota.waiters.borrow_mut().insert(ticket, sender);
-        wait.ticket = Some(ticket);
+        let waiter_id = quota.client.borrow_mut().enqueue(now(), wait.tenant, span);
+        quota.waiters.borrow_mut().insert(waiter_id, sender);
+        wait.waiter_id = Some(waiter_id);
         quota.lease_now.notify_one();
         let result = settled.await;
         wait.settled = true;
-        result.unwrap_or(Err(quota.rule.length()))
+        result.unwrap_or(Err(quota.rule.window_length()))
     }
 
     /// The gateways of the own region that others there borrow units of a shard from: the two preferred ones.
@@ -176,7 +175,7 @@
     pub(super) fn lend_unit(&self, tenant: &str) -> Reply {
         let routing = self.routing();
         let tenant_config = routing.tenants.get(tenant);
-        let span = tenant_config.and_then(|t| self.quota.rule.span(t.rate_per_second, t.burst_size));
+        let span = tenant_config.and_then(|t| self.quota.rule.window_budget(t.rate_per_second, t.burst_size));
         let shard = shard_of(tenant);
         let holder = self.holder(shard);
         match span {
@@ -189,7 +188,7 @@
 
     /// What is held of quotas, for the log.
     pub fn describe_quota(&self) -> String {
-        self.quota.client.borrow().account(now())
+        self.quota.client.borrow().describe(now())
     }
 
     /// Requests that had to wait for a unit since the last call.
@@ -202,13 +201,13 @@
         loop {
             let started = Instant::now();
             let near = !self.quota.is_counter_remote();
-            let (requests, settled) = self.quota.client.borrow_mut().look(now(), &self.holders(), near);
+            let (requests, settled) = self.quota.client.borrow_mut().poll(now(), &self.holders(), near);
             self.quota.settle(settled);
             for request in requests {
                 tokio::task::spawn_local(self.clone().send_lease_request(request));
             }
             self.log_unavailable();
-            let next = Duration::from_micros(self.quota.client.borrow().next(now()));
+            let next = Duration::from_micros(self.quota.client.borrow().next_poll_in(now()));
             // Whether woken or not, the loop looks again.
             let _ = timeout(next, self.quota.lease_now.notified()).await;
             if started.elapsed() < MIN_POLL_INTERVAL {
@@ -218,23 +217,23 @@
     }
 
     fn log_unavailable(&self) {
-        if let Some((reasons, degraded)) = self.quota.client.borrow_mut().complaint(now()) {
+        if let Some(QuotaReport { reasons, degraded }) = self.quota.client.borrow_mut().report(now()) {
             let level = if degraded { log::Level::Warn } else { log::Level::Info };
             log::log!(level, "quota: {reasons}");
         }
     }
 
     /// Sends a request to a counter's holder, and uses what comes of it.
-    async fn send_lease_request(self: Rc<Self>, request: Errand) {
+    async fn send_lease_request(self: Rc<Self>, request: OutgoingRequest) {
         let call = Call::LeaseQuota(self.node, request.requests.clone());
         let outcome = match self.channels.to(request.node).call(&call, COUNTER_TIMEOUT).await {
-            Ok(Reply::QuotaGrants(answers)) => Outcome::Answers(answers),
-            Ok(_) => Outcome::NotAgreed,
-            Err(CallError::Disconnected) => Outcome::Unreachable,
-            Err(CallError::TimedOut | CallError::Overloaded) => Outcome::Silent,
+            Ok(Reply::QuotaGrants(answers)) => RequestOutcome::Answered(answers),
+            Ok(_) => RequestOutcome::NotAgreed,
+            Err(CallError::Disconnected) => RequestOutcome::Unreachable,
+            Err(CallError::TimedOut | CallError::Overloaded) => RequestOutcome::TimedOut,
         };
-        self.quota.observe_latency(now() - request.at);
-        let settled = self.quota.client.borrow_mut().heard(now(), &request, &outcome);
+        self.quota.observe_latency(now() - request.sent);
+        let settled = self.quota.client.borrow_mut().handle_outcome(now(), &request, &outcome);
         self.quota.settle(settled);
         self.quota.lease_now.notify_one();
     }
--- a/crates/balancer/src/replica.rs
+++ b/crates/balancer/src/replica.rs
@@ -9,7 +9,7 @@
 use limeway_control_plane::{
     Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, RequestId, StartOptions, WriteId,
 };
-use limeway_quota::Rule;
+use limeway_quota::QuotaRule;
 use limeway_routing_config::State;
 use limeway_settings::Settings;
 use limeway_types::{Micros, Timestamp};
@@ -208,7 +208,7 @@
 }
 
 /// The figures of the quota rule.
-pub fn quota_rule(settings: &Settings) -> Rule {
+pub fn quota_rule(settings: &Settings) -> QuotaRule {
     let bounds = &settings.bounds;
-    Rule { window: bounds.quota_window, overshoot: bounds.quota_overshoot, slack: bounds.quota_slack }
+    QuotaRule { span: bounds.quota_window, overshoot: bounds.quota_overshoot, slack: bounds.quota_slack }
 }
--- a/crates/control/control-plane/src/api.rs
+++ b/crates/control/control-plane/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Call, Reply};
 use limeway_consensus::{Acceptor, LogRecord};
-use limeway_quota::Rule;
+use limeway_quota::QuotaRule;
 use limeway_routing_config::{ConfigUpdate, InvalidConfig, State};
 use limeway_service_registry::ServerReport;
 use limeway_types::{Micros, NodeId, ProcessIncarnation};
@@ -29,7 +29,7 @@
     /// How many such machines may be lost at once.
     pub tolerated_losses: usize,
     /// The figures of the quota rule.
-    pub quota_rule: Rule,
+    pub quota_rule: QuotaRule,
     /// Interval between two heartbeats of a server.
     pub server_heartbeat: Micros,
     /// Machines that the settings file names.
--- a/crates/control/control-plane/src/control_plane.rs
+++ b/crates/control/control-plane/src/control_plane.rs
@@ -14,7 +14,7 @@
 use limeway_distribution::transfer::StateRequest;
 use limeway_distribution::StateCache;
 use limeway_membership::{HeldLeases, Holder, LeaseVoter, MemberHeartbeat, Membership, SHARDS};
-use limeway_quota::count::Count;
+use limeway_quota::counter::Counter;
 use limeway_routing_config::{RoutingSnapshot, State};
 use limeway_types::{Micros, NodeId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
     pub(crate) direct_members: BTreeMap<NodeId, MemberHeartbeat>,
     pub(crate) lease_voter: LeaseVoter,
     pub(crate) held_leases: HeldLeases,
-    pub(crate) counters: [Option<Count>; SHARDS],
+    pub(crate) counters: [Option<Counter>; SHARDS],
     /// Servers whose heartbeats go into the next round.
     pub(crate) fresh_servers: BTreeSet<String>,
     pub(crate) peers: BTreeMap<NodeId, Peer>,
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -7,7 +7,7 @@
 use limeway_distribution::transfer::StateRequest;
 use limeway_distribution::{LongPoll, StateUpdate, UpdateResponse};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
-use limeway_quota::{Answer, Request};
+use limeway_quota::{QuotaRequest, QuotaResponse};
 use limeway_service_registry::ServerReport;
 use limeway_types::ProcessIncarnation;
 use serde::{Deserialize, Serialize};
@@ -39,7 +39,7 @@
     BorrowUnit(String),
     /// A limiter leases quota.
     #[serde(rename = "Ask")]
-    LeaseQuota(NodeId, Vec<Request>),
+    LeaseQuota(NodeId, Vec<QuotaRequest>),
 }
 
 /// The reply to a call.
@@ -59,7 +59,7 @@
     Update(Box<UpdateResponse>),
     /// To [`Call::LeaseQuota`]; what is not granted here is left out.
     #[serde(rename = "Grants")]
-    QuotaGrants(Vec<Answer>),
+    QuotaGrants(Vec<QuotaResponse>),
     /// Done.
     Done,
     /// This process does not do that, or not now.
--- a/crates/control/control-plane/src/quota.rs
+++ b/crates/control/control-plane/src/quota.rs
@@ -4,20 +4,20 @@
 use crate::messages::Reply;
 use limeway_consensus::NodeId;
 use limeway_membership::{shard_of, ROLE_LEASE, SHARDS};
-use limeway_quota::count::Count;
-use limeway_quota::Request;
+use limeway_quota::counter::Counter;
+use limeway_quota::QuotaRequest;
 
 impl ControlPlane {
     /// Starts the counter of a shard that is newly held. It begins a whole window after the last lease, which expired at the latest when
     /// this one began, or before this process started. So does the very first one: the first holder cannot be told from one that has
     /// just come back.
     pub(crate) fn start_counter(&mut self, shard: usize) {
-        let window = self.options.quota_rule.length();
+        let window = self.options.quota_rule.window_length();
         let starting = self.now < self.started + ROLE_LEASE;
         let begins = if starting { self.now.max(self.started + window) } else { self.now + window };
         let counter_incarnation = self.options.incarnation ^ self.now.rotate_left(32);
         let gateways = &self.cache.state.gateways;
-        self.counters[shard] = Some(Count::new(begins, counter_incarnation, window, gateways, false));
+        self.counters[shard] = Some(Counter::new(begins, counter_incarnation, window, gateways, false));
     }
 
     /// Drops the counters of shards that are held no more.
@@ -27,29 +27,35 @@
             if !self.held_leases.holds(self.now, shard) {
                 *slot = None;
             } else if let Some(counter) = slot {
-                counter.set_doors(gateways);
-                counter.sweep(self.now);
+                counter.set_gateways(gateways);
+                counter.expire(self.now);
             }
         }
     }
 
     /// Answers a gateway's requests for quota of the shards held here.
-    pub(crate) fn lease_quota(&mut self, gateway: NodeId, requests: &[Request]) -> Reply {
+    pub(crate) fn lease_quota(&mut self, gateway: NodeId, requests: &[QuotaRequest]) -> Reply {
         // The next holder of a counter would not ask a gateway that is not agreed on.
         if !self.cache.state.gateways.contains(&gateway) {
             return Reply::Declined;
         }
         let (now, rule, routing) = (self.now, self.options.quota_rule, self.routing.clone());
         let mut answers = Vec::new();
-        for request in requests.iter().filter(|request| request.group < SHARDS) {
-            let shard = request.group;
+        for request in requests.iter().filter(|request| request.shard < SHARDS) {
+            let shard = request.shard;
             let held = self.held_leases.holds(now, shard);
             let Some(counter) = self.counters[shard].as_mut().filter(|_| held) else { continue };
             let windows = |name: &str| {
                 let tenant = routing.tenants.get(name).filter(|_| shard_of(name) == shard)?;
-                rule.span(tenant.rate_per_second, tenant.burst_size)
+                rule.window_budget(tenant.rate_per_second, tenant.burst_size)
             };
-            answers.extend(counter.answer(now, now + limeway_quota::BLOCK, gateway, request, windows));
+            answers.extend(counter.handle(
+                now,
+                now + limeway_quota::BLOCK_LIFETIME,
+                gateway,
+                request,
+                windows,
+            ));
         }
         Reply::QuotaGrants(answers)
     }
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -7,7 +7,7 @@
 use limeway_distribution::transfer::{Chunk, Received, StateRequest, TransferId};
 use limeway_distribution::{decode, encode, LongPoll, StateUpdate, UpdateResponse};
 use limeway_membership::{HeldLease, LeaseRequest, MemberHeartbeat};
-use limeway_quota::{Answer, Ask, Block, Grant, Phase as Windows, Request};
+use limeway_quota::{Grant, LeasedBlock, QuotaRequest, QuotaResponse, TenantRequest, WindowPhase as Windows};
 use limeway_routing_config::ConfigUpdate;
 use limeway_routing_config::{Operation, State};
 use limeway_service_registry::{Phase, ServerReport};
@@ -89,16 +89,23 @@
     Chunk { transfer: label, size: 4, offset: 1, bytes: ByteBuf::from(vec![1, 2, 3]) }
 }
 
-fn request() -> Request {
-    let ask = Ask { tenant: "t-1".into(), base: 4, want: 6, extra: 1, held: 3 };
-    let block = Block { tenant: "t-1".into(), units: 3, spent: 2, left: 4_000_000 };
-    Request { group: 2, asks: vec![ask], holds: Some(vec![block]), term: 99, life: 5, number: 8 }
+fn request() -> QuotaRequest {
+    let ask = TenantRequest { tenant: "t-1".into(), needed: 4, wanted: 6, extra: 1, held: 3 };
+    let block = LeasedBlock { tenant: "t-1".into(), units: 3, spent: 2, remaining: 4_000_000 };
+    QuotaRequest {
+        shard: 2,
+        tenants: vec![ask],
+        blocks: Some(vec![block]),
+        counter: 99,
+        incarnation: 5,
+        sequence: 8,
+    }
 }
 
-fn answer() -> Answer {
-    let phase = Windows { term: 99, window: 31, left: 600_000 };
+fn answer() -> QuotaResponse {
+    let phase = Windows { counter: 99, window: 31, remaining: 600_000 };
     let grant = Grant { tenant: "t-1".into(), units: 6, extra: 1, budget: 40 };
-    Answer { group: 2, term: 99, phase, unknown: true, grants: vec![grant] }
+    QuotaResponse { shard: 2, counter: 99, phase, needs_blocks: true, grants: vec![grant] }
 }
 
 fn order(version: u32, base: u32) -> ConfigUpdate {
--- a/crates/data/quota/src/escrow.rs
+++ b/crates/data/quota/src/escrow.rs
@@ -1,424 +1,454 @@
-//! A limiter's side: the units that it holds of each tenant.
+//! A gateway's side: the units that it holds of each tenant.
 
-use crate::{Ask, Block, Grant, Micros, Node, Phase, Span, BLOCK, SKEW};
-use std::collections::{BTreeMap, HashMap};
+use crate::window_clock::WindowClock;
+use crate::{
+    CounterIncarnation, Grant, Holder, LeasedBlock, TenantRequest, WindowBudget, WindowPhase, BLOCK_LIFETIME,
+    MAX_SKEW,
+};
+use limeway_types::{Micros, Timestamp};
+use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Part of a new window's use in the running mean, where that is more and where it is less.
-const FRESH: (f64, f64) = (0.35, 0.08);
-/// What is good to have covers chance this many times its spread, where requests come in clumps of so many.
+/// Weight of a new window's use in the running mean, if it is more: up at once,
+const RISE_WEIGHT: f64 = 0.35;
+/// and if it is less: down slowly. A pause between two bursts is no reason to give back what the next one needs.
+const FALL_WEIGHT: f64 = 0.08;
+/// Longest gap that the running mean follows window by window.
+const MAX_GAP_WINDOWS: u64 = 16;
+/// What is good to have covers this many standard deviations of the use, where requests come in bursts of [`BURST_SIZE`].
 const SPREAD: f64 = 1.0;
-/// The same where neighbours come for units: what this limiter holds covers chance for all of them.
-const SPREAD_LENDING: f64 = 4.0;
-/// Windows after a neighbour's last request for which a limiter holds that much.
-const LENDS: u64 = 12;
+/// The same where neighbours borrow units: what this gateway holds covers the variation of all of them.
+const LENDING_SPREAD: f64 = 4.0;
+/// Windows after a neighbour's last request for which a gateway holds that much.
+const LENDING_WINDOWS: u64 = 12;
 /// See [`SPREAD`].
-const CLUMPED: f64 = 1.5;
-/// Part of the requests of a first window by which its use is foretold.
-const FIRST: f64 = 0.7;
+const BURST_SIZE: f64 = 1.5;
+/// Part of the requests of a first window by which its use is estimated.
+const FIRST_WINDOW_ESTIMATE: f64 = 0.7;
 /// Windows without a request after which a tenant is forgotten.
-const IDLE: u64 = 8;
-/// Blocks are leased anew when less than this part of a full life is left to them.
-const RENEW: Micros = 4_500_000;
-/// Tenants known at once, at most.
-const TENANTS_MOST: usize = 50_000;
-/// An ask that has had no answer is given up after so long, and made again.
-pub const LOST: Micros = 350_000;
+const MAX_IDLE_WINDOWS: u64 = 8;
+/// Windows without a request after which nothing is requested for a tenant.
+const QUIET_WINDOWS: u64 = 2;
+/// Blocks are renewed when less than this is left of their life.
+const RENEW_BEFORE: Micros = 4_500_000;
+/// Upper bound on the tenants known at once.
+const MAX_TENANTS: usize = 50_000;
+/// A request without an answer is given up after so long, and made again.
+pub const REQUEST_TIMEOUT: Micros = 350_000;
 
-/// Where a count's windows stand, on this machine's clock.
-#[derive(Debug, Clone, Copy)]
-struct Edge {
-    window: u64,
-    /// The window's end, never later than it truly is, nor earlier by more than [`SKEW`].
-    end: Micros,
-    length: Micros,
-}
-
-impl Edge {
-    fn window(&self, now: Micros) -> u64 {
-        if now < self.end {
-            self.window
-        } else {
-            self.window + 1 + (now - self.end) / self.length
-        }
-    }
+/// Names a request to counters.
+pub type RequestNumber = u64;
 
-    fn closer(self, other: Edge) -> Edge {
-        // Ends of different windows are compared as ends of one.
-        let ahead = other.window.saturating_sub(self.window) * self.length;
-        let behind = self.window.saturating_sub(other.window) * self.length;
-        if other.end + behind >= self.end + ahead {
-            other
-        } else {
-            self
-        }
-    }
-
-    fn left(&self, now: Micros) -> Micros {
-        if now < self.end {
-            self.end - now
-        } else {
-            self.length - (now - self.end) % self.length
-        }
-    }
+/// A request that is under way.
+#[derive(Debug, Clone, Copy)]
+struct PendingRequest {
+    number: RequestNumber,
+    sent: Timestamp,
 }
 
-/// The holder of a group's count: its machine and the life of its process.
-pub type Holder = (Node, u64);
-
+/// What is held of one tenant.
 #[derive(Debug, Clone, Default)]
-struct Hold {
-    group: usize,
-    term: u64,
+struct TenantEscrow {
+    shard: usize,
+    /// The counter that granted it.
+    counter: CounterIncarnation,
+    /// Units of each window.
     units: u32,
+    /// The budget of a window when they were granted.
     budget: u32,
-    until: Micros,
+    expires: Timestamp,
     window: u64,
     spent: u32,
+    /// Single units of this window.
     extra: u32,
     /// Requests of this window, admitted or not.
-    asked: u32,
-    mean: f64,
-    idle: u64,
-    /// An ask is under way: its number, and when it was made. No other answer is used.
-    asking: Option<(u64, Micros)>,
-    /// The count has granted less than was held here, and keeps that back until it is asked again.
-    lowered: bool,
-    /// The count had nothing left in this window.
-    dry: Option<u64>,
-    /// What was asked for as `want` last: another figure is worth a call.
-    told: u32,
+    demand: u32,
+    /// Running mean of the demand.
+    mean_demand: f64,
+    /// Windows without demand.
+    idle_windows: u64,
+    /// A request is under way. No other answer is used.
+    pending: Option<PendingRequest>,
+    /// The counter has granted less than was held here, and reserves that until it is asked again.
+    was_lowered: bool,
+    /// The window in which the counter had nothing left.
+    exhausted: Option<u64>,
+    /// What was requested as `wanted` last: another figure is worth a request.
+    last_wanted: u32,
+    /// Client requests that wait for a unit.
     waiting: u32,
-    /// Neighbours have come for units lately: until this window.
-    lends: u64,
+    /// Neighbours have borrowed units lately: until this window.
+    lends_until: u64,
 }
 
-/// What becomes of a request.
+/// Whether a client request gets its unit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Take {
+pub enum UnitResult {
     /// It has its unit.
-    Yes,
-    /// The count has to be asked first.
+    Granted,
+    /// The counter has to be asked first.
     Wait,
     /// The window has nothing left; the next one begins after so long.
-    Dry(Micros),
-}
-
-/// All that a limiter holds.
-#[derive(Debug, Clone)]
-pub struct Escrow {
-    length: Micros,
-    /// By the life of the count.
-    edges: HashMap<u64, Edge>,
-    holds: HashMap<String, Hold>,
+    Exhausted(Micros),
 }
 
-impl Hold {
+impl TenantEscrow {
     /// Goes on to a window.
     fn roll(&mut self, window: u64) {
         if window <= self.window {
             return;
         }
-        let passed = (window - self.window).min(16);
-        for at in 0..passed {
-            let used = if at == 0 { f64::from(self.asked) } else { 0.0 };
-            // Up at once and down slowly: a pause between two clumps is no reason to give back what the next one needs.
-            let fresh = if used > self.mean { FRESH.0 } else { FRESH.1 };
-            self.mean += fresh * (used - self.mean);
+        let passed = (window - self.window).min(MAX_GAP_WINDOWS);
+        for gap in 0..passed {
+            let demand = if gap == 0 { f64::from(self.demand) } else { 0.0 };
+            let weight = if demand > self.mean_demand { RISE_WEIGHT } else { FALL_WEIGHT };
+            self.mean_demand += weight * (demand - self.mean_demand);
         }
-        self.idle = if self.asked > 0 { passed - 1 } else { self.idle + passed };
-        (self.window, self.spent, self.extra, self.asked) = (window, 0, 0, 0);
+        self.idle_windows = if self.demand > 0 { passed - 1 } else { self.idle_windows + passed };
+        (self.window, self.spent, self.extra, self.demand) = (window, 0, 0, 0);
     }
 
     /// Units of this window, under the budget that is in force.
-    fn worth(&self, now: Micros, span: Span) -> u32 {
-        let block = if self.until > now { self.units } else { 0 };
-        // A limit that was lowered binds blocks of before as well.
-        let block = if span.budget < self.budget {
-            (u64::from(block) * u64::from(span.budget) / u64::from(self.budget.max(1))) as u32
+    fn available(&self, now: Timestamp, budget: WindowBudget) -> u32 {
+        let block = if self.expires > now { self.units } else { 0 };
+        // A limit that was lowered binds earlier blocks as well.
+        let block = if budget.budget < self.budget {
+            let scaled = u64::from(block) * u64::from(budget.budget) / u64::from(self.budget.max(1));
+            scaled as u32
         } else {
             block
         };
         block + self.extra
     }
 
-    /// What it would be good to ask for.
-    fn ask(&self, tenant: &str, now: Micros, near: bool) -> Ask {
-        // Before the first window is over, what has been asked for in it is all that is known.
-        let sure = if self.mean > 0.0 { self.mean } else { FIRST * f64::from(self.asked) };
+    /// Spends a unit, if there is one left.
+    fn spend(&mut self, now: Timestamp, budget: WindowBudget) -> bool {
+        let has_unit = self.spent < self.available(now, budget);
+        self.spent += u32::from(has_unit);
+        has_unit
+    }
+
+    /// What it would be good to request.
+    fn request(&self, tenant: &str, now: Timestamp, near: bool) -> TenantRequest {
+        // Before the first window is over, its requests so far are all that is known.
+        let expected = if self.mean_demand > 0.0 {
+            self.mean_demand
+        } else {
+            FIRST_WINDOW_ESTIMATE * f64::from(self.demand)
+        };
         let spread = match near {
             true => SPREAD / 2.0,
-            false if self.lends > self.window => SPREAD_LENDING,
+            false if self.lends_until > self.window => LENDING_SPREAD,
             false => SPREAD,
         };
-        let wide = spread * (CLUMPED * sure).sqrt() + spread.min(1.5);
-        let (mut base, mut want) = (sure.floor() as u32, (sure + wide).floor() as u32);
-        if self.asked == 0 && (self.idle > 2 || self.until <= now && self.idle > 0) {
-            (base, want) = (0, 0);
+        let margin = spread * (BURST_SIZE * expected).sqrt() + spread.min(1.5);
+        let (mut needed, mut wanted) = (expected.floor() as u32, (expected + margin).floor() as u32);
+        let is_quiet = self.idle_windows > QUIET_WINDOWS || self.expires <= now && self.idle_windows > 0;
+        if self.demand == 0 && is_quiet {
+            (needed, wanted) = (0, 0);
         }
-        Ask { tenant: tenant.to_owned(), base, want: want.max(base), extra: self.waiting, held: 0 }
+        let (tenant, wanted, extra) = (tenant.to_owned(), wanted.max(needed), self.waiting);
+        TenantRequest { tenant, needed, wanted, extra, held: 0 }
     }
 
-    fn asking(&self, now: Micros) -> bool {
-        self.asking.is_some_and(|(_, at)| now < at + LOST)
+    fn has_pending(&self, now: Timestamp) -> bool {
+        self.pending.is_some_and(|pending| now < pending.sent + REQUEST_TIMEOUT)
     }
 
-    /// The ask that is due, made under a number. Whatever is asked for less than is held is given up here at once, so that
-    /// the count may grant it elsewhere as soon as it hears.
-    fn due(&mut self, tenant: &str, now: Micros, edge: Option<Edge>, number: u64, near: bool) -> Option<Ask> {
-        if self.asking(now) {
+    /// The request that is due, made under a number. Whatever is requested less than is held is given up here at once, so that the
+    /// counter may grant it elsewhere as soon as it hears.
+    fn due_request(
+        &mut self,
+        tenant: &str,
+        now: Timestamp,
+        clock: Option<WindowClock>,
+        number: RequestNumber,
+        near: bool,
+    ) -> Option<TenantRequest> {
+        if self.has_pending(now) {
             return None;
         }
-        if let Some(edge) = edge {
-            self.roll(edge.window(now));
+        if let Some(clock) = clock {
+            self.roll(clock.window(now));
         }
-        let mut ask = self.ask(tenant, now, near);
-        let renew = self.until.saturating_sub(now) < RENEW && ask.want > 0;
-        let (want, told) = (f64::from(ask.want), f64::from(self.told));
-        // What is too much is missing elsewhere, and is given back sooner than more is asked for.
-        let moved = want > 1.25 * told + 1.0 || want < 0.85 * told - 0.5;
-        let lower = ask.want == 0 && self.units > 0;
-        if !(self.waiting > 0 || renew || moved || lower || self.lowered) {
+        let mut request = self.request(tenant, now, near);
+        if !self.is_due(now, &request) {
             return None;
         }
-        self.units = self.units.min(ask.want);
-        // What it has had of the window under way may be of one that begins only now where the count is.
+        self.units = self.units.min(request.wanted);
+        // What it has had of the present window may be of one that begins only now at the counter.
         let had = self.spent.saturating_sub(self.extra);
-        ask.held = if self.until > now { self.units.max(had) } else { 0 };
-        (self.asking, self.told, self.lowered) = (Some((number, now)), ask.want, false);
-        Some(ask)
+        request.held = if self.expires > now { self.units.max(had) } else { 0 };
+        self.pending = Some(PendingRequest { number, sent: now });
+        (self.last_wanted, self.was_lowered) = (request.wanted, false);
+        Some(request)
+    }
+
+    fn is_due(&self, now: Timestamp, request: &TenantRequest) -> bool {
+        let renew = self.expires.saturating_sub(now) < RENEW_BEFORE && request.wanted > 0;
+        let (wanted, last) = (f64::from(request.wanted), f64::from(self.last_wanted));
+        // What is too much is missing elsewhere, and is given back sooner than more is requested.
+        let changed = wanted > 1.25 * last + 1.0 || wanted < 0.85 * last - 0.5;
+        let release = request.wanted == 0 && self.units > 0;
+        self.waiting > 0 || renew || changed || release || self.was_lowered
+    }
+
+    /// Another counter has other windows. The one under way here goes on until the last counter's window would have ended: windows never
+    /// begin closer to each other than their length.
+    fn switch_counter(
+        &mut self,
+        now: Timestamp,
+        counter: CounterIncarnation,
+        previous: Option<WindowClock>,
+        clock: WindowClock,
+    ) {
+        match previous {
+            Some(previous) => {
+                self.roll(previous.window(now));
+                self.window = clock.window(now + previous.remaining(now).saturating_sub(1));
+            }
+            None => (self.window, self.spent, self.extra) = (clock.window(now), 0, 0),
+        }
+        self.counter = counter;
     }
 }
 
+/// All that a gateway holds.
+#[derive(Debug, Clone)]
+pub struct Escrow {
+    window_length: Micros,
+    clocks: HashMap<CounterIncarnation, WindowClock>,
+    tenants: HashMap<String, TenantEscrow>,
+}
+
 impl Escrow {
     /// An empty one, for windows of this length.
-    pub fn new(length: Micros) -> Self {
-        Escrow { length: length.max(1), edges: HashMap::new(), holds: HashMap::new() }
+    pub fn new(window_length: Micros) -> Self {
+        Escrow { window_length: window_length.max(1), clocks: HashMap::new(), tenants: HashMap::new() }
     }
 
-    /// Takes a unit for a request of a tenant whose count `holder` holds.
+    /// Takes a unit for a request of a tenant whose counter `holder` holds.
     pub fn take(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         tenant: &str,
-        group: usize,
+        shard: usize,
         holder: Option<Holder>,
-        span: Span,
-    ) -> Take {
-        if !self.holds.contains_key(tenant) {
-            if self.holds.len() >= TENANTS_MOST {
-                return Take::Dry(self.length);
+        budget: WindowBudget,
+    ) -> UnitResult {
+        if !self.tenants.contains_key(tenant) {
+            if self.tenants.len() >= MAX_TENANTS {
+                return UnitResult::Exhausted(self.window_length);
             }
-            self.holds.insert(tenant.to_owned(), Hold { group, ..Hold::default() });
+            self.tenants.insert(tenant.to_owned(), TenantEscrow { shard, ..TenantEscrow::default() });
         }
-        let (edges, length) = (&self.edges, self.length);
-        let Some(hold) = self.holds.get_mut(tenant) else { return Take::Dry(length) };
-        let edge = edges.get(&hold.term);
-        if let Some(edge) = edge {
-            hold.roll(edge.window(now));
+        let (clocks, window_length) = (&self.clocks, self.window_length);
+        let Some(escrow) = self.tenants.get_mut(tenant) else {
+            return UnitResult::Exhausted(window_length);
+        };
+        let clock = clocks.get(&escrow.counter);
+        if let Some(clock) = clock {
+            escrow.roll(clock.window(now));
         }
-        hold.asked = hold.asked.saturating_add(1);
-        if edge.is_some() && hold.spent < hold.worth(now, span) {
-            hold.spent += 1;
-            return Take::Yes;
+        escrow.demand = escrow.demand.saturating_add(1);
+        if clock.is_some() && escrow.spend(now, budget) {
+            return UnitResult::Granted;
         }
-        match edge {
-            Some(edge) if hold.dry == Some(hold.window) => Take::Dry(edge.left(now)),
-            _ if holder.is_none() => Take::Dry(length),
+        match clock {
+            Some(clock) if escrow.exhausted == Some(escrow.window) => {
+                UnitResult::Exhausted(clock.remaining(now))
+            }
+            _ if holder.is_none() => UnitResult::Exhausted(window_length),
             _ => {
-                hold.waiting += 1;
-                Take::Wait
+                escrow.waiting += 1;
+                UnitResult::Wait
             }
         }
     }
 
-    /// Takes a unit for a request that a neighbour has: only what is held here, and nothing waits for it. It counts as this
-    /// limiter's own use, so that more will be leased here.
+    /// Takes a unit for a request that a neighbour has: only what is held here, and nothing waits for it. It counts as this gateway's
+    /// own demand, so that more will be leased here.
     pub fn lend(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         tenant: &str,
-        group: usize,
+        shard: usize,
         holder: Option<Holder>,
-        span: Span,
+        budget: WindowBudget,
     ) -> bool {
-        let taken = self.take(now, tenant, group, holder, span);
-        if let Some(hold) = self.holds.get_mut(tenant) {
-            hold.lends = hold.window + LENDS;
+        let result = self.take(now, tenant, shard, holder, budget);
+        if let Some(escrow) = self.tenants.get_mut(tenant) {
+            escrow.lends_until = escrow.window + LENDING_WINDOWS;
         }
-        match taken {
-            Take::Yes => true,
-            Take::Wait => {
-                self.spared(tenant);
-                false
-            }
-            Take::Dry(_) => false,
+        if result == UnitResult::Wait {
+            self.cancel_wait(tenant);
         }
+        result == UnitResult::Granted
     }
 
-    /// A request that was told to wait has got its unit elsewhere.
-    pub fn spared(&mut self, tenant: &str) {
-        if let Some(hold) = self.holds.get_mut(tenant) {
-            hold.waiting = hold.waiting.saturating_sub(1);
+    /// A request that was told to wait waits no more: it has got its unit elsewhere, or its client is gone.
+    pub fn cancel_wait(&mut self, tenant: &str) {
+        if let Some(escrow) = self.tenants.get_mut(tenant) {
+            escrow.waiting = escrow.waiting.saturating_sub(1);
         }
     }
 
     /// A request that was told to wait takes its unit, or waits on; when it is late it gives up.
-    pub fn waited(&mut self, now: Micros, tenant: &str, span: Span, late: bool) -> Take {
-        let (edges, length) = (&self.edges, self.length);
-        let Some(hold) = self.holds.get_mut(tenant) else { return Take::Dry(length) };
-        let edge = edges.get(&hold.term);
-        if let Some(edge) = edge {
-            hold.roll(edge.window(now));
-            if hold.spent < hold.worth(now, span) {
-                hold.spent += 1;
-                hold.waiting = hold.waiting.saturating_sub(1);
-                return Take::Yes;
+    pub fn take_waiting(
+        &mut self,
+        now: Timestamp,
+        tenant: &str,
+        budget: WindowBudget,
+        late: bool,
+    ) -> UnitResult {
+        let (clocks, window_length) = (&self.clocks, self.window_length);
+        let Some(escrow) = self.tenants.get_mut(tenant) else {
+            return UnitResult::Exhausted(window_length);
+        };
+        let clock = clocks.get(&escrow.counter);
+        if let Some(clock) = clock {
+            escrow.roll(clock.window(now));
+            if escrow.spend(now, budget) {
+                escrow.waiting = escrow.waiting.saturating_sub(1);
+                return UnitResult::Granted;
             }
         }
-        let dry = edge.is_some() && hold.dry == Some(hold.window);
-        if !dry && !late {
-            return Take::Wait;
+        let is_exhausted = clock.is_some() && escrow.exhausted == Some(escrow.window);
+        if !is_exhausted && !late {
+            return UnitResult::Wait;
         }
-        hold.waiting = hold.waiting.saturating_sub(1);
-        Take::Dry(edge.map_or(length, |e| e.left(now)))
+        escrow.waiting = escrow.waiting.saturating_sub(1);
+        UnitResult::Exhausted(clock.map_or(window_length, |clock| clock.remaining(now)))
     }
 
-    /// What is due to be asked of the count of each group, under a number. Of `tenants` alone, or of all; `open` tells
-    /// which groups may be asked now. With the counts `near`, units beyond the usual use are asked for when they are needed,
-    /// and left to those that are far away.
-    pub fn asks(
+    /// What is due to be requested of the counter of each shard, under a number. For `tenants` alone, or for all; `may_ask` tells which
+    /// shards may be asked now. With the counters `near`, units beyond the usual use are requested when they are needed, and left to
+    /// gateways that are far away.
+    pub fn due_requests(
         &mut self,
-        now: Micros,
-        number: u64,
+        now: Timestamp,
+        number: RequestNumber,
         near: bool,
         tenants: Option<&[String]>,
-        open: impl Fn(usize) -> bool,
-    ) -> BTreeMap<usize, Vec<Ask>> {
-        let mut groups: BTreeMap<usize, Vec<Ask>> = BTreeMap::new();
-        let edges = &self.edges;
-        let mut look = |tenant: &String, hold: &mut Hold| {
-            if !open(hold.group) {
+        may_ask: impl Fn(usize) -> bool,
+    ) -> BTreeMap<usize, Vec<TenantRequest>> {
+        let mut requests: BTreeMap<usize, Vec<TenantRequest>> = BTreeMap::new();
+        let clocks = &self.clocks;
+        let mut collect = |tenant: &String, escrow: &mut TenantEscrow| {
+            if !may_ask(escrow.shard) {
                 return;
             }
-            if let Some(ask) = hold.due(tenant, now, edges.get(&hold.term).copied(), number, near) {
-                groups.entry(hold.group).or_default().push(ask);
+            let clock = clocks.get(&escrow.counter).copied();
+            if let Some(request) = escrow.due_request(tenant, now, clock, number, near) {
+                requests.entry(escrow.shard).or_default().push(request);
             }
         };
         match tenants {
             Some(tenants) => {
                 for tenant in tenants {
-                    if let Some(hold) = self.holds.get_mut(tenant) {
-                        look(tenant, hold);
+                    if let Some(escrow) = self.tenants.get_mut(tenant) {
+                        collect(tenant, escrow);
                     }
                 }
             }
-            None => self.holds.iter_mut().for_each(|(tenant, hold)| look(tenant, hold)),
+            None => self.tenants.iter_mut().for_each(|(tenant, escrow)| collect(tenant, escrow)),
         }
-        groups
+        requests
     }
 
-    /// Forgets tenants that have not been asked for lately, and windows that nothing is held of. `terms` are the counts that
-    /// are asked now.
-    pub fn sweep(&mut self, now: Micros, terms: &[u64]) {
-        self.holds.retain(|_, h| h.idle < IDLE || h.waiting > 0 || h.asking(now));
-        let held: std::collections::HashSet<u64> = self.holds.values().map(|h| h.term).collect();
-        self.edges.retain(|term, _| held.contains(term) || terms.contains(term));
+    /// Forgets tenants without demand, and windows that nothing is held of. `counters` are those that are asked now.
+    pub fn expire(&mut self, now: Timestamp, counters: &[CounterIncarnation]) {
+        let in_use = |escrow: &TenantEscrow| {
+            escrow.idle_windows < MAX_IDLE_WINDOWS || escrow.waiting > 0 || escrow.has_pending(now)
+        };
+        self.tenants.retain(|_, escrow| in_use(escrow));
+        let held: HashSet<CounterIncarnation> = self.tenants.values().map(|escrow| escrow.counter).collect();
+        self.clocks.retain(|counter, _| held.contains(counter) || counters.contains(counter));
     }
 
-    /// All that is held of a group, for a count that does not know it.
-    pub fn blocks(&self, now: Micros, group: usize) -> Vec<Block> {
-        let live = self
-            .holds
-            .iter()
-            .filter(|(_, h)| h.group == group && (h.units > 0 || h.spent > 0) && h.until > now);
-        let block = |(t, h): (&String, &Hold)| Block {
-            tenant: t.clone(),
-            units: h.units,
-            spent: h.spent,
-            left: h.until - now,
+    /// All that is held of a shard, for a counter that does not know it.
+    pub fn blocks(&self, now: Timestamp, shard: usize) -> Vec<LeasedBlock> {
+        let is_live = |escrow: &TenantEscrow| {
+            escrow.shard == shard && (escrow.units > 0 || escrow.spent > 0) && escrow.expires > now
+        };
+        let block = |(tenant, escrow): (&String, &TenantEscrow)| LeasedBlock {
+            tenant: tenant.clone(),
+            units: escrow.units,
+            spent: escrow.spent,
+            remaining: escrow.expires - now,
         };
-        live.map(block).collect()
+        self.tenants.iter().filter(|(_, escrow)| is_live(escrow)).map(block).collect()
     }
 
-    /// A count tells, in answer to what was asked at `asked`, where its windows stand. False if they are not known well
-    /// enough to use what it grants: it took too long, and none of its answers was quicker.
-    pub fn learn(&mut self, now: Micros, asked: Micros, phase: Phase) -> bool {
-        if now.saturating_sub(asked) > SKEW {
-            return self.edges.contains_key(&phase.term);
+    /// A counter says, in answer to what was sent at `sent`, where its windows are. False if they are not known well enough to use what
+    /// it grants: the answer took too long, and none before was quicker.
+    pub fn observe_phase(&mut self, now: Timestamp, sent: Timestamp, phase: WindowPhase) -> bool {
+        if now.saturating_sub(sent) > MAX_SKEW {
+            return self.clocks.contains_key(&phase.counter);
         }
-        let fresh = Edge { window: phase.window, end: asked + phase.left, length: self.length };
-        // Of two ends, both never late, the later one is the closer.
-        self.edges.entry(phase.term).and_modify(|old| *old = old.closer(fresh)).or_insert(fresh);
+        let (window, end) = (phase.window, sent + phase.remaining);
+        let observed = WindowClock { window, end, length: self.window_length };
+        let clock = self.clocks.entry(phase.counter);
+        clock.and_modify(|known| *known = known.closer(observed)).or_insert(observed);
         true
     }
 
-    /// Takes what the count of these windows has granted for an ask under a number that was made at `asked`. It counts once,
-    /// and only while no later ask was made.
+    /// Takes what the counter of these windows has granted for a request under `number` that was sent at `sent`. It counts once, and only
+    /// while no later request was made.
     pub fn granted(
         &mut self,
-        now: Micros,
-        (number, asked): (u64, Micros),
-        ask: &Ask,
-        phase: Phase,
+        now: Timestamp,
+        number: RequestNumber,
+        sent: Timestamp,
+        request: &TenantRequest,
+        phase: WindowPhase,
         grant: &Grant,
     ) {
-        let Some(edge) = self.edges.get(&phase.term).copied() else { return };
-        let before = self.holds.get(&grant.tenant).and_then(|h| self.edges.get(&h.term).copied());
-        let Some(hold) = self.holds.get_mut(&grant.tenant) else { return };
-        if hold.asking.is_none_or(|(n, _)| n != number) {
+        let Some(clock) = self.clocks.get(&phase.counter).copied() else { return };
+        let Some(escrow) = self.tenants.get_mut(&grant.tenant) else { return };
+        if escrow.pending.is_none_or(|pending| pending.number != number) {
             return;
         }
-        hold.asking = None;
-        if hold.term != phase.term {
-            // Another count has other windows. The one under way here goes on until the last count's window would
-            // have ended: windows never begin closer to each other than their length.
-            match before {
-                Some(before) => {
-                    hold.roll(before.window(now));
-                    hold.window = edge.window(now + before.left(now).saturating_sub(1));
-                }
-                None => (hold.window, hold.spent, hold.extra) = (edge.window(now), 0, 0),
-            }
-            hold.term = phase.term;
+        escrow.pending = None;
+        if escrow.counter != phase.counter {
+            let previous = self.clocks.get(&escrow.counter).copied();
+            escrow.switch_counter(now, phase.counter, previous, clock);
         }
-        hold.roll(edge.window(now));
-        hold.lowered = grant.units < ask.held;
-        (hold.units, hold.budget, hold.until) = (grant.units, grant.budget, asked + BLOCK);
-        // What was granted for a window that has passed is forfeit.
-        if phase.window == hold.window {
-            hold.extra += grant.extra;
-            let short = grant.units.saturating_sub(ask.held) + grant.extra < ask.extra;
-            if short && hold.waiting > 0 {
-                hold.dry = Some(hold.window);
+        escrow.roll(clock.window(now));
+        escrow.was_lowered = grant.units < request.held;
+        (escrow.units, escrow.budget, escrow.expires) = (grant.units, grant.budget, sent + BLOCK_LIFETIME);
+        // What was granted for a window that has passed is forfeited.
+        if phase.window == escrow.window {
+            escrow.extra += grant.extra;
+            let short = grant.units.saturating_sub(request.held) + grant.extra < request.extra;
+            if short && escrow.waiting > 0 {
+                escrow.exhausted = Some(escrow.window);
             }
         }
     }
 
-    /// An ask under a number had no answer that could be used.
-    pub fn lost(&mut self, number: u64, asks: &[Ask]) {
-        for ask in asks {
-            if let Some(hold) = self.holds.get_mut(&ask.tenant) {
-                if hold.asking.is_some_and(|(n, _)| n == number) {
-                    hold.asking = None;
-                }
+    /// A request under a number had no answer that could be used.
+    pub fn request_failed(&mut self, number: RequestNumber, requests: &[TenantRequest]) {
+        for request in requests {
+            if let Some(escrow) = self.tenants.get_mut(&request.tenant) {
+                escrow.pending = escrow.pending.filter(|pending| pending.number != number);
             }
         }
     }
 
-    /// The group of a tenant that is known.
-    pub fn group(&self, tenant: &str) -> Option<usize> {
-        self.holds.get(tenant).map(|h| h.group)
+    /// The shard of a tenant that is known.
+    pub fn shard(&self, tenant: &str) -> Option<usize> {
+        self.tenants.get(tenant).map(|escrow| escrow.shard)
     }
 
-    /// What is held, in words: of each tenant the units of a window, those spent, those asked for, and the life of the block.
-    pub fn account(&self, now: Micros) -> String {
-        let one = |(tenant, h): (&String, &Hold)| {
-            let left = h.until.saturating_sub(now) / 1_000;
+    /// What is held, for the log: of each tenant the units of a window, those spent, the demand, and the life of the block.
+    pub fn describe(&self, now: Timestamp) -> String {
+        let one = |(tenant, e): (&String, &TenantEscrow)| {
+            let left = e.expires.saturating_sub(now) / 1_000;
             format!(
-                "{tenant} {}+{}/{} spent {} asked {} mean {:.1} left {left} ms",
-                h.units, h.extra, h.budget, h.spent, h.asked, h.mean
+                "{tenant} {}+{}/{} spent {} demand {} mean {:.1} left {left} ms",
+                e.units, e.extra, e.budget, e.spent, e.demand, e.mean_demand
             )
         };
-        self.holds.iter().map(one).collect::<Vec<_>>().join("; ")
+        self.tenants.iter().map(one).collect::<Vec<_>>().join("; ")
     }
 }
--- a/crates/data/quota/tests/bound.rs
+++ b/crates/data/quota/tests/bound.rs
@@ -1,14 +1,14 @@
 //! The bound of quotas over any span, with limiters, counts that change hands, views of them that differ, and requests and
 //! answers that are late, lost or overtaken.
 
-use limeway_quota::count::Count;
-use limeway_quota::desk::{Desk, Errand, Outcome, Settled};
-use limeway_quota::escrow::{Holder, Take};
-use limeway_quota::{Micros, Rule, Span, BLOCK};
+use limeway_quota::counter::Counter;
+use limeway_quota::escrow::UnitResult;
+use limeway_quota::lease_client::{LeaseClient, OutgoingRequest, RequestOutcome, SettledWaiter};
+use limeway_quota::{Holder, Micros, QuotaRule, WindowBudget, BLOCK_LIFETIME};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-const RULE: Rule = Rule { window: 5_000_000, overshoot: 0.1, slack: 20.0 };
+const RULE: QuotaRule = QuotaRule { span: 5_000_000, overshoot: 0.1, slack: 20.0 };
 const DOORS: usize = 6;
 
 struct Chance(u64);
@@ -53,26 +53,26 @@
 
 /// A limiter as the drill keeps it.
 struct Door {
-    desk: Desk,
+    desk: LeaseClient,
     life: u64,
     offset: Micros,
 }
 
 impl Door {
     fn new(life: u64, offset: Micros) -> Self {
-        Door { desk: Desk::new(RULE.length(), life), life, offset }
+        Door { desk: LeaseClient::new(RULE.window_length(), life), life, offset }
     }
 }
 
 /// Requests that have their units.
-fn units(settled: &[Settled]) -> usize {
-    settled.iter().filter(|(_, result)| result.is_ok()).count()
+fn units(settled: &[SettledWaiter]) -> usize {
+    settled.iter().filter(|settled| settled.result.is_ok()).count()
 }
 
 /// Plays a minute of one tenant at some multiple of its rate. The most that any span of the rule's window let in, and the
 /// share of the tenant's requests that were let in.
 fn play(seed: u64, rate: f64, load: f64, day: Day) -> (u32, f64) {
-    let span: Span = RULE.span(rate, rate).expect("limited");
+    let span: WindowBudget = RULE.window_budget(rate, rate).expect("limited");
     let mut chance = Chance(seed);
     let mut lives = 1u64;
     // Each limiter's clock is off by its own amount.
@@ -82,11 +82,11 @@
     let doors: BTreeSet<u32> = (0..DOORS as u32).collect();
     let mut now: Micros = 2_000_000_000;
     // The two machines that may hold the count, with the lives of their processes; which one does, and the life of the count.
-    let mut machines: [Holder; 2] = [(9, 1), (8, 1)];
+    let mut machines: [Holder; 2] = [(9, 1).into(), (8, 1).into()];
     let (mut holds, mut term) = (0, 1u64);
-    let mut count = Count::new(now, term, RULE.length(), &doors, true);
-    let mut asks: Vec<Way<Errand>> = Vec::new();
-    let mut answers: Vec<Way<(Errand, Outcome)>> = Vec::new();
+    let mut count = Counter::new(now, term, RULE.window_length(), &doors, true);
+    let mut asks: Vec<Way<OutgoingRequest>> = Vec::new();
+    let mut answers: Vec<Way<(OutgoingRequest, RequestOutcome)>> = Vec::new();
     let mut passed: Vec<Micros> = Vec::new();
     let (mut wanted, mut calm, mut cut_until, mut deaf_until) = (0u32, 0, 0, 0);
     let end = now + 60_000_000;
@@ -100,13 +100,13 @@
             // The next holder starts once the last one has surely ended, and one window later.
             term += 1;
             if dies {
-                machines[holds].1 += 1;
+                machines[holds].incarnation += 1;
             }
             if moves {
                 holds = 1 - holds;
             }
-            let start = if day.at_once { now } else { now + RULE.length() };
-            count = Count::new(start, term, RULE.length(), &doors, day.forgets);
+            let start = if day.at_once { now } else { now + RULE.window_length() };
+            count = Counter::new(start, term, RULE.window_length(), &doors, day.forgets);
             calm = 200;
             if day.all {
                 for door in &mut all {
@@ -135,15 +135,15 @@
             let at = chance.below(DOORS as u64) as usize;
             let door = &mut all[at];
             match door.desk.take(now + door.offset, "t", 0, view(at), span) {
-                Take::Yes => passed.push(now),
-                Take::Wait => {
-                    door.desk.queue(now + door.offset, "t", span);
+                UnitResult::Granted => passed.push(now),
+                UnitResult::Wait => {
+                    door.desk.enqueue(now + door.offset, "t", span);
                 }
-                Take::Dry(_) => {}
+                UnitResult::Exhausted(_) => {}
             }
         }
         for (at, door) in all.iter_mut().enumerate() {
-            let (errands, settled) = door.desk.look(now + door.offset, &[view(at)], at == 0);
+            let (errands, settled) = door.desk.poll(now + door.offset, &[view(at)], at == 0);
             passed.extend(std::iter::repeat_n(now, units(&settled)));
             for errand in errands {
                 let lost = chance.below(20) == 0 || at < 2 && now < cut_until;
@@ -151,23 +151,23 @@
                 if !lost {
                     asks.push((now + 500 + chance.below(60_000) + late, at, door.life, errand.clone()));
                 }
-                answers.push((now + 320_000, at, door.life, (errand, Outcome::Silent)));
+                answers.push((now + 320_000, at, door.life, (errand, RequestOutcome::TimedOut)));
             }
         }
         let (due, later) = asks.drain(..).partition(|a| a.0 <= now);
         asks = later;
         for (_, at, life, errand) in due {
-            let asked = (errand.node, errand.boot);
+            let asked = Holder { node: errand.node, incarnation: errand.incarnation };
             if !machines.contains(&asked) {
                 continue;
             }
             let mut told = Vec::new();
             for request in errand.requests.iter().filter(|_| asked == machines[holds]) {
-                told.extend(count.answer(now, now + BLOCK, at as u32, request, |_| Some(span)));
+                told.extend(count.handle(now, now + BLOCK_LIFETIME, at as u32, request, |_| Some(span)));
             }
             if chance.below(20) > 0 && !(at < 2 && now < deaf_until) {
                 let arrives = now + 500 + chance.below(160_000);
-                answers.push((arrives, at, life, (errand, Outcome::Answers(told))));
+                answers.push((arrives, at, life, (errand, RequestOutcome::Answered(told))));
             }
         }
         let (due, later): (Vec<_>, _) = answers.drain(..).partition(|a| a.0 <= now);
@@ -175,8 +175,8 @@
         for (_, at, life, (errand, outcome)) in due {
             let door = &mut all[at];
             // What was asked by a process that has ended has nobody to go to. A call ends once.
-            if door.life == life && now + door.offset <= errand.at + 322_000 {
-                let settled = door.desk.heard(now + door.offset, &errand, &outcome);
+            if door.life == life && now + door.offset <= errand.sent + 322_000 {
+                let settled = door.desk.handle_outcome(now + door.offset, &errand, &outcome);
                 passed.extend(std::iter::repeat_n(now, units(&settled)));
             }
         }
@@ -184,7 +184,7 @@
     passed.sort_unstable();
     let (mut most, mut from) = (0, 0);
     for to in 0..passed.len() {
-        while passed[to] - passed[from] > RULE.window {
+        while passed[to] - passed[from] > RULE.span {
             from += 1;
         }
         most = most.max((to - from + 1) as u32);
--- a/crates/data/quota/tests/count.rs
+++ b/crates/data/quota/tests/counter.rs
@@ -1,58 +1,68 @@
 //! What a count grants where requests are late, overtaken, lost, or of another life.
 
-use limeway_quota::count::Count;
-use limeway_quota::{Answer, Ask, Block, Micros, Request, Rule, Span, BLOCK, SKEW};
+use limeway_quota::counter::Counter;
+use limeway_quota::{
+    LeasedBlock, Micros, QuotaRequest, QuotaResponse, QuotaRule, TenantRequest, WindowBudget, BLOCK_LIFETIME,
+    MAX_SKEW,
+};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-const RULE: Rule = Rule { window: 5_000_000, overshoot: 0.1, slack: 20.0 };
+const RULE: QuotaRule = QuotaRule { span: 5_000_000, overshoot: 0.1, slack: 20.0 };
 const NOW: Micros = 100_000_000;
 const TERM: u64 = 7;
 const BUDGET: u32 = 40;
 
-fn span() -> Span {
-    Span { length: RULE.length(), budget: BUDGET }
+fn span() -> WindowBudget {
+    WindowBudget { length: RULE.window_length(), budget: BUDGET }
 }
 
-fn count() -> Count {
-    Count::new(NOW, TERM, RULE.length(), &BTreeSet::from([0, 1]), true)
+fn count() -> Counter {
+    Counter::new(NOW, TERM, RULE.window_length(), &BTreeSet::from([0, 1]), true)
 }
 
-fn request(life: u64, number: u64, want: u32, held: u32, holds: Option<u32>) -> Request {
-    let ask = Ask { tenant: "t".into(), base: want, want, extra: 0, held };
-    let block = |units| Block { tenant: "t".into(), units, spent: 0, left: BLOCK };
+fn request(life: u64, number: u64, want: u32, held: u32, holds: Option<u32>) -> QuotaRequest {
+    let ask = TenantRequest { tenant: "t".into(), needed: want, wanted: want, extra: 0, held };
+    let block = |units| LeasedBlock { tenant: "t".into(), units, spent: 0, remaining: BLOCK_LIFETIME };
     let holds = holds.map(|units| vec![block(units)]);
-    Request { group: 0, asks: vec![ask], holds, term: TERM, life, number }
+    QuotaRequest {
+        shard: 0,
+        tenants: vec![ask],
+        blocks: holds,
+        counter: TERM,
+        incarnation: life,
+        sequence: number,
+    }
 }
 
-fn ask(count: &mut Count, now: Micros, node: u32, request: &Request) -> Option<Answer> {
-    count.answer(now, now + BLOCK, node, request, |_| Some(span()))
+fn ask(count: &mut Counter, now: Micros, node: u32, request: &QuotaRequest) -> Option<QuotaResponse> {
+    count.handle(now, now + BLOCK_LIFETIME, node, request, |_| Some(span()))
 }
 
-fn units(answer: Option<Answer>) -> u32 {
+fn units(answer: Option<QuotaResponse>) -> u32 {
     answer.map_or(0, |a| a.grants.iter().map(|g| g.units).sum())
 }
 
 #[rstest]
 fn what_is_told_to_another_life_of_the_count_is_not_taken() {
     let mut count = count();
-    let stray = Request { term: TERM - 1, ..request(1, 1, 10, 0, Some(0)) };
+    let stray = QuotaRequest { counter: TERM - 1, ..request(1, 1, 10, 0, Some(0)) };
     let answer = ask(&mut count, NOW, 0, &stray).expect("answered");
-    assert!(answer.unknown && answer.grants.is_empty() && answer.term == TERM, "{answer:?}");
+    assert!(answer.needs_blocks && answer.grants.is_empty() && answer.counter == TERM, "{answer:?}");
 }
 
 #[rstest]
 #[case::a_request_that_was_overtaken(request(1, 3, 1, 0, None))]
 #[case::a_telling_that_was_overtaken(request(1, 3, 1, 0, Some(0)))]
 #[case::a_telling_of_the_life_before(request(9, 8, 1, 0, Some(0)))]
-fn what_comes_late_frees_nothing(#[case] late: Request) {
+fn what_comes_late_frees_nothing(#[case] late: QuotaRequest) {
     let mut count = count();
     ask(&mut count, NOW, 0, &request(9, 1, 0, 0, Some(0)));
     let held = units(ask(&mut count, NOW, 0, &request(1, 4, BUDGET, 0, Some(0))));
     assert!(held > 0);
     // Two windows later only what is held then is kept back.
     assert_eq!(ask(&mut count, NOW, 0, &late), None);
-    let later = NOW + 2 * RULE.length();
+    let later = NOW + 2 * RULE.window_length();
     let other = units(ask(&mut count, later, 1, &request(2, 1, BUDGET, 0, Some(0))));
     assert!(held + other <= BUDGET, "{held} and {other} of {BUDGET}");
 }
@@ -64,12 +74,12 @@
     let held = units(ask(&mut count, NOW, 0, &request(1, 1, BUDGET, 0, Some(0))));
     let less = units(ask(&mut count, NOW, 0, &request(1, 2, 3, held, None)));
     assert!(less < held);
-    let later = NOW + 2 * RULE.length();
+    let later = NOW + 2 * RULE.window_length();
     let other = units(ask(&mut count, later, 1, &request(2, 1, BUDGET, 0, Some(0))));
     assert!(held + other <= BUDGET, "{held} and {other} of {BUDGET}");
     // It asks again with what it was granted: the rest is free.
     ask(&mut count, later, 0, &request(1, 3, 3, less, None));
-    let after = later + 2 * RULE.length();
+    let after = later + 2 * RULE.window_length();
     let more = units(ask(&mut count, after, 1, &request(2, 2, BUDGET, other, None)));
     assert!(more > other && less + more <= BUDGET, "{less} and {more}, {other} before");
 }
@@ -82,7 +92,7 @@
     let own = units(ask(&mut count, NOW + 1_000, 0, &request(2, 1, 0, 0, Some(0))));
     let other = units(ask(&mut count, NOW + 2_000, 1, &request(3, 1, BUDGET, 0, Some(0))));
     assert!(had + own + other <= BUDGET, "{had}, {own} and {other} of {BUDGET}");
-    let later = NOW + RULE.length() + 1_000;
+    let later = NOW + RULE.window_length() + 1_000;
     assert!(units(ask(&mut count, later, 1, &request(3, 2, BUDGET, other, None))) > other);
 }
 
@@ -101,10 +111,10 @@
 fn a_block_that_ends_with_a_window_is_kept_back_in_the_next() {
     let mut count = count();
     let had = units(ask(&mut count, NOW, 0, &request(1, 1, BUDGET, 0, Some(0))));
-    let next = NOW + (BLOCK / RULE.length() + 1) * RULE.length();
-    assert!(next < NOW + BLOCK + SKEW);
+    let next = NOW + (BLOCK_LIFETIME / RULE.window_length() + 1) * RULE.window_length();
+    assert!(next < NOW + BLOCK_LIFETIME + MAX_SKEW);
     let other = units(ask(&mut count, next, 1, &request(3, 1, BUDGET, 0, Some(0))));
     assert!(had + other <= BUDGET, "{had} and {other} of {BUDGET}");
-    let after = units(ask(&mut count, next + RULE.length(), 1, &request(3, 2, BUDGET, other, None)));
+    let after = units(ask(&mut count, next + RULE.window_length(), 1, &request(3, 2, BUDGET, other, None)));
     assert!(after > other);
 }
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -3,9 +3,9 @@
 
 use limeway_distribution::{encode, LongPoll, StateCache};
 use limeway_membership::{MemberHeartbeat, Membership};
-use limeway_quota::count::Count;
+use limeway_quota::counter::Counter;
 use limeway_quota::escrow::Escrow;
-use limeway_quota::{Ask, Rule};
+use limeway_quota::{QuotaRule, TenantRequest};
 use limeway_routing_config::ConfigUpdate;
 use limeway_routing_config::{Operation, State};
 use limeway_service_registry::{Phase, ServerReport};
@@ -257,27 +257,27 @@
 }
 
 fn quotas() -> Vec<Row> {
-    let (first, rule) = (1_000, Rule { window: 5_000_000, overshoot: 0.1, slack: 20.0 });
+    let (first, rule) = (1_000, QuotaRule { span: 5_000_000, overshoot: 0.1, slack: 20.0 });
     let (mut asked, mut taken) = (Vec::new(), Vec::new());
     for times in TIMES {
         let doors: BTreeSet<u32> = (0..85).collect();
-        let Some(span) = rule.span(5.0, 5.0) else { continue };
-        let mut count = Count::new(1_000_000, 1, rule.length(), &doors, true);
-        let asks: Vec<Ask> = (0..first * times)
-            .map(|n| Ask { tenant: format!("t{n:06}"), base: 1, want: 2, extra: 1, held: 0 })
+        let Some(span) = rule.window_budget(5.0, 5.0) else { continue };
+        let mut count = Counter::new(1_000_000, 1, rule.window_length(), &doors, true);
+        let asks: Vec<TenantRequest> = (0..first * times)
+            .map(|n| TenantRequest { tenant: format!("t{n:06}"), needed: 1, wanted: 2, extra: 1, held: 0 })
             .collect();
-        (0..4).for_each(|door| count.tell(1_000_000, door, &[]));
+        (0..4).for_each(|door| count.record_blocks(1_000_000, door, &[]));
         let mut now = 1_000_000;
         asked.push(quickest(|| {
             now += 1_000;
             for ask in &asks {
-                black_box(count.ask(now, now + 8_000_000, (now / 1_000 % 4) as u32, ask, span));
+                black_box(count.grant(now, now + 8_000_000, (now / 1_000 % 4) as u32, ask, span));
             }
         }));
-        let mut escrow = Escrow::new(rule.length());
+        let mut escrow = Escrow::new(rule.window_length());
         taken.push(quickest(|| {
             for ask in &asks {
-                black_box(escrow.take(now, &ask.tenant, 0, Some((1, 1)), span));
+                black_box(escrow.take(now, &ask.tenant, 0, Some((1, 1).into()), span));
             }
         }));
     }
@@ -304,23 +304,27 @@
         });
         forget(board);
     };
-    let rule = Rule { window: 5_000_000, overshoot: 0.1, slack: 20.0 };
+    let rule = QuotaRule { span: 5_000_000, overshoot: 0.1, slack: 20.0 };
     let counted = |n: u64| {
         let (mut count, Some(span)) =
-            (Count::new(0, 1, rule.length(), &BTreeSet::new(), true), rule.span(5.0, 5.0))
+            (Counter::new(0, 1, rule.window_length(), &BTreeSet::new(), true), rule.window_budget(5.0, 5.0))
         else {
             return;
         };
         for (tenant, door) in (0..n).flat_map(|t| (0..4).map(move |d| (t, d))) {
-            let ask = Ask { tenant: format!("t{tenant:06}"), base: 1, want: 1, extra: 0, held: 0 };
-            count.ask(1_000, 8_000_000, door, &ask, span);
+            let ask =
+                TenantRequest { tenant: format!("t{tenant:06}"), needed: 1, wanted: 1, extra: 0, held: 0 };
+            count.grant(1_000, 8_000_000, door, &ask, span);
         }
         forget(count);
     };
     let held = |n: u64| {
-        let (mut escrow, Some(span)) = (Escrow::new(rule.length()), rule.span(5.0, 5.0)) else { return };
+        let (mut escrow, Some(span)) = (Escrow::new(rule.window_length()), rule.window_budget(5.0, 5.0))
+        else {
+            return;
+        };
         for tenant in 0..n {
-            escrow.take(1_000, &format!("t{tenant:06}"), 0, Some((1, 1)), span);
+            escrow.take(1_000, &format!("t{tenant:06}"), 0, Some((1, 1).into()), span);
         }
         forget(escrow);
     };
--- a/crates/testing/simulation/src/people.rs
+++ b/crates/testing/simulation/src/people.rs
@@ -7,7 +7,7 @@
 use limeway_control_plane::{ApiRequest, ApiResponse};
 use limeway_distribution::{LongPoll, StateCache};
 use limeway_membership::{MemberHeartbeat, SHARDS};
-use limeway_quota::Request;
+use limeway_quota::QuotaRequest;
 use limeway_routing_config::ConfigUpdate;
 use limeway_service_registry::{Phase, ServerReport};
 use std::collections::BTreeMap;
@@ -359,7 +359,14 @@
             }
             limiter.told[group] = holder;
             let (term, life, number) = (0, u64::from(me) + 1, 0);
-            let request = Request { group, asks: Vec::new(), holds: Some(Vec::new()), term, life, number };
+            let request = QuotaRequest {
+                shard: group,
+                tenants: Vec::new(),
+                blocks: Some(Vec::new()),
+                counter: term,
+                incarnation: life,
+                sequence: number,
+            };
             self.ask_core(at, 0, holder.node as usize - 1, Call::LeaseQuota(me, vec![request]));
         }
     }
--- a/crates/testing/simulation/src/world.rs
+++ b/crates/testing/simulation/src/world.rs
@@ -11,7 +11,7 @@
 use limeway_control_plane::{
     Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, RequestId, StartOptions,
 };
-use limeway_quota::Rule;
+use limeway_quota::QuotaRule;
 use std::collections::BTreeMap;
 
 /// Limiters.
@@ -335,7 +335,7 @@
             ack_timeout: 6 * SECOND,
             loss_counted: true,
             tolerated_losses: self.schedule.losses,
-            quota_rule: Rule { window: 5 * SECOND, overshoot: 0.1, slack: 20.0 },
+            quota_rule: QuotaRule { span: 5 * SECOND, overshoot: 0.1, slack: 20.0 },
             server_heartbeat: SECOND / 2,
             seeds: seeds.into_iter().map(node).collect(),
             initial_start: first,
