--- a/crates/balancer/src/gateway/endpoints.rs
+++ b/crates/balancer/src/gateway/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::clock::now;
 use crate::proxy::upstream::ConnectionPools;
 use limeway_distribution::StateCache;
-use limeway_load_balancing::{cold_share, Candidate, Near, Selector};
+use limeway_load_balancing::{slow_start_share, Candidate, Locality, Selector};
 use limeway_membership::{hash, rendezvous_weight, NodeId};
 use limeway_routing_config::{RoutingSnapshot, Service};
 use limeway_service_registry::{Phase, Server};
@@ -38,7 +38,7 @@
     /// Its region.
     pub region: Rc<str>,
     /// How far it is.
-    pub locality: Near,
+    pub locality: Locality,
     /// Requests that it works on at once.
     pub capacity_slots: u32,
     /// In slow start until then.
@@ -109,11 +109,11 @@
         };
         let candidate = |endpoint: &Endpoint| Candidate {
             id: endpoint.id.clone(),
-            slots: endpoint.capacity_slots,
-            near: endpoint.locality,
-            cold: (endpoint.slow_start_until > now).then_some(endpoint.slow_start_rate),
-            silent: endpoint.unresponsive,
-            most: endpoint.max_connections,
+            capacity_slots: endpoint.capacity_slots,
+            locality: endpoint.locality,
+            slow_start_rate: (endpoint.slow_start_until > now).then_some(endpoint.slow_start_rate),
+            unresponsive: endpoint.unresponsive,
+            max_outstanding: endpoint.max_connections,
         };
         let endpoints = table.get(service).map_or(&[][..], Vec::as_slice);
         endpoints.iter().filter(is_allowed).map(candidate).collect()
@@ -182,13 +182,13 @@
         }
     }
 
-    fn locality(&self, zone: &str, region: &str) -> Near {
+    fn locality(&self, zone: &str, region: &str) -> Locality {
         if zone == self.settings.zone {
-            Near::Zone
+            Locality::Zone
         } else if region == self.settings.region {
-            Near::Region
+            Locality::Region
         } else {
-            Near::Far
+            Locality::OtherRegion
         }
     }
 
@@ -234,7 +234,7 @@
         }
         let bounds = &self.settings.bounds;
         let total = service.slow_start_rate * bounds.cold_overshoot + bounds.cold_slack;
-        cold_share(SLOW_START_UTILIZATION * total, senders.len())
+        slow_start_share(SLOW_START_UTILIZATION * total, senders.len())
     }
 }
 
--- a/crates/balancer/src/gateway/mod.rs
+++ b/crates/balancer/src/gateway/mod.rs
@@ -12,7 +12,7 @@
 use crate::transport::{self, Channels};
 
 use following::Following;
-use limeway_load_balancing::Tries;
+use limeway_load_balancing::RetryBudget;
 use limeway_membership::{MemberHeartbeat, NodeId};
 use limeway_routing_config::RoutingSnapshot;
 use limeway_service_registry::Phase;
@@ -43,7 +43,7 @@
     /// The endpoints of services, and the connections to them.
     pub endpoints: Endpoints,
     /// The retry budget.
-    pub retries: RefCell<Tries>,
+    pub retries: RefCell<RetryBudget>,
     node: NodeId,
     channels: Channels,
     following: Following,
@@ -58,7 +58,7 @@
         let bounds = &settings.bounds;
         Rc::new(Gateway {
             endpoints: Endpoints::new(settings.fds),
-            retries: RefCell::new(Tries::new(bounds.retry_ratio, bounds.retry_window)),
+            retries: RefCell::new(RetryBudget::new(bounds.retry_ratio, bounds.retry_window)),
             node: NodeId::from(settings.ip),
             channels: Channels::new(settings.inner.0),
             following: Following::new(&settings),
@@ -164,7 +164,7 @@
         loop {
             sleep(CLEANUP_INTERVAL).await;
             self.endpoints.pools.prune();
-            self.endpoints.selector.borrow_mut().sweep(now());
+            self.endpoints.selector.borrow_mut().expire(now());
             // Whether a server is unresponsive is for its replicas to say: here only what is gone is dropped.
             self.following.cache.borrow_mut().registry.expire(now(), Micros::MAX);
         }
--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -8,7 +8,9 @@
 use crate::gateway::Gateway;
 use limeway_http1::conn::Reply;
 use limeway_http1::inbound::Message;
-use limeway_load_balancing::verdict::{nowhere, End, Head, Learnt, Next, Try};
+use limeway_load_balancing::attempts::{
+    have_no_common_region, AttemptResult, Conclusion, NextStep, RequestAttempts, ResponseHead,
+};
 use limeway_load_balancing::Outcome;
 use limeway_types::{Micros, Timestamp};
 use std::cell::Cell;
@@ -41,11 +43,11 @@
     let service = pick_service(&route);
     let tenant_regions: &[String] = tenant.as_ref().map_or(&[], |tenant| &tenant.allowed_regions);
     let allowed_regions: [&[String]; 2] = [&route.allowed_regions, tenant_regions];
-    if nowhere(allowed_regions) {
+    if have_no_common_region(allowed_regions) {
         // Both bind, and have no region in common: no attempt at any time can be served, and no unit is spent on it.
         return Err(LocalResponse::new(503));
     }
-    gateway.retries.borrow_mut().first(started, &service);
+    gateway.retries.borrow_mut().count_request(started, &service);
     if let Some(tenant) = &tenant {
         let unit = gateway.take_unit(&tenant.name, tenant.rate_per_second, tenant.burst_size).await;
         unit.map_err(|wait| LocalResponse::retry_after(429, wait as f64 / 1e6))?;
@@ -59,7 +61,7 @@
         tried: Vec::new(),
         hedge: None,
     };
-    let verdict = Try::new(upstream.idempotent, route.max_attempts.min(MAX_ATTEMPTS));
+    let verdict = RequestAttempts::new(upstream.idempotent, route.max_attempts.min(MAX_ATTEMPTS));
     attempts.run(verdict, started + route.target_latency / CAPACITY_WAIT_DIVISOR, server_time).await
 }
 
@@ -86,36 +88,40 @@
     /// Tries servers until one answers, or none may be tried any more.
     async fn run(
         &mut self,
-        mut verdict: Try,
+        mut verdict: RequestAttempts,
         capacity_deadline: Timestamp,
         server_time: &Cell<Micros>,
     ) -> Result<Reply, LocalResponse> {
         let mut failure = None;
-        while verdict.may_go_on() && now() < self.deadline {
+        while verdict.may_continue() && now() < self.deadline {
             let Some(server) = self.next_server(&verdict, capacity_deadline).await else { break };
             self.tried.push(server.id.clone());
             let sent = now();
             let Some((learnt, reply)) = self.attempt(&verdict, &server).await else { continue };
-            match (verdict.learn(learnt), reply) {
-                (Next::Pass, Some(reply)) => {
+            match (verdict.record(learnt), reply) {
+                (NextStep::Forward, Some(reply)) => {
                     // If it took more than one attempt, the other time is not ours alone.
                     server_time.set(if self.tried.len() == 1 { now() - sent } else { 0 });
                     return Ok(reply);
                 }
-                (_, Some(reply)) if learnt == Learnt::Failed => failure = Some(reply),
+                (_, Some(reply)) if learnt == AttemptResult::Failed => failure = Some(reply),
                 _ => {}
             }
         }
-        match (verdict.end(now() >= self.deadline), failure) {
-            (End::Failure, Some(reply)) => Ok(reply),
-            (End::Failure | End::Unknown, _) => Err(LocalResponse::new(502)),
-            (End::Late, _) => Err(LocalResponse::new(504)),
-            (End::Promise, _) => Err(LocalResponse::unavailable()),
+        match (verdict.conclude(now() >= self.deadline), failure) {
+            (Conclusion::Failure, Some(reply)) => Ok(reply),
+            (Conclusion::Failure | Conclusion::Unknown, _) => Err(LocalResponse::new(502)),
+            (Conclusion::TimedOut, _) => Err(LocalResponse::new(504)),
+            (Conclusion::NotExecuted, _) => Err(LocalResponse::unavailable()),
         }
     }
 
     /// The next server. Waits a little for one with room while no server may have executed the request.
-    async fn next_server(&mut self, verdict: &Try, capacity_deadline: Timestamp) -> Option<ChosenServer> {
+    async fn next_server(
+        &mut self,
+        verdict: &RequestAttempts,
+        capacity_deadline: Timestamp,
+    ) -> Option<ChosenServer> {
         if let Some(chosen) = self.hedge.take() {
             return Some(chosen);
         }
@@ -137,17 +143,18 @@
         let candidates = self.gateway.endpoints.candidates(self.service, self.allowed_regions);
         let mut selector = self.gateway.endpoints.selector.borrow_mut();
         let id = if healthy_only {
-            selector.choose_instead(now(), &candidates, &self.tried)
+            selector.choose_healthy(now(), &candidates, &self.tried)
         } else {
             selector.choose(now(), &candidates, &self.tried)
         }?;
-        let in_slow_start = candidates.iter().any(|candidate| candidate.id == id && candidate.cold.is_some());
+        let in_slow_start =
+            candidates.iter().any(|candidate| candidate.id == id && candidate.slow_start_rate.is_some());
         Some(ChosenServer { id, in_slow_start })
     }
 
     fn pay_for_retry(&self) -> bool {
         let slack = self.gateway.share_of(self.gateway.settings.bounds.retry_slack);
-        self.gateway.retries.borrow_mut().again(now(), self.service, slack)
+        self.gateway.retries.borrow_mut().try_retry(now(), self.service, slack)
     }
 
     /// Whether to leave a server that does not respond: only for a healthy one, within the retry budget. Not during shutdown: what a
@@ -161,7 +168,11 @@
     }
 
     /// One attempt at a server: what it teaches, and the response, if there is one. None if the server is gone meanwhile.
-    async fn attempt(&mut self, verdict: &Try, server: &ChosenServer) -> Option<(Learnt, Option<Reply>)> {
+    async fn attempt(
+        &mut self,
+        verdict: &RequestAttempts,
+        server: &ChosenServer,
+    ) -> Option<(AttemptResult, Option<Reply>)> {
         let gateway = self.gateway;
         let target = gateway.endpoints.connect_target(self.service, &server.id)?;
         let started = now();
@@ -174,7 +185,7 @@
         tokio::pin!(exchange);
         let result = loop {
             let left = self.deadline.saturating_sub(now());
-            let wait = if verdict.may_leave() { hedge_delay.min(left) } else { left };
+            let wait = if verdict.may_hedge() { hedge_delay.min(left) } else { left };
             match timeout(Duration::from_micros(wait), &mut exchange).await {
                 Ok(result) => break Some(result),
                 Err(_) if now() >= self.deadline || self.hedges() => break None,
@@ -189,35 +200,39 @@
     /// How long a server may take before the request may leave it.
     fn hedge_delay(&self, started: Timestamp, id: &Rc<str>) -> Micros {
         let left = self.deadline.saturating_sub(started);
-        let usual = self.gateway.endpoints.selector.borrow().usual(id);
+        let usual = self.gateway.endpoints.selector.borrow().usual_latency(id);
         let usual = usual.unwrap_or(left / UNKNOWN_LATENCY_DIVISOR);
         ((HEDGE_LATENCY_FACTOR * usual as f64) as Micros).max(MIN_HEDGE_DELAY)
     }
 }
 
 /// What an attempt teaches, for the request and for the choice of servers.
-fn assess(result: Option<UpstreamResult>, took: Micros, sent: bool) -> (Learnt, Option<Reply>, Outcome) {
+fn assess(
+    result: Option<UpstreamResult>,
+    took: Micros,
+    sent: bool,
+) -> (AttemptResult, Option<Reply>, Outcome) {
     match result {
         Some(UpstreamResult::Response(reply)) => {
-            let learnt = response_head(&reply).learnt();
+            let learnt = response_head(&reply).result();
             let outcome = match learnt {
-                Learnt::Answer | Learnt::Failed => Outcome::Answered(took),
-                Learnt::NotRun => Outcome::Full,
-                Learnt::Moved => Outcome::Moved,
-                Learnt::Unsent | Learnt::Lost => Outcome::Broke,
+                AttemptResult::Final | AttemptResult::Failed => Outcome::Answered(took),
+                AttemptResult::NotExecuted => Outcome::Full,
+                AttemptResult::Moved => Outcome::Moved,
+                AttemptResult::NotSent | AttemptResult::Unknown => Outcome::Broken,
             };
             (learnt, Some(reply), outcome)
         }
-        Some(UpstreamResult::NotSent) => (Learnt::Unsent, None, Outcome::Broke),
-        Some(UpstreamResult::Broken) => (Learnt::Lost, None, Outcome::Broke),
-        None if sent => (Learnt::Lost, None, Outcome::Silent(took)),
-        None => (Learnt::Unsent, None, Outcome::Silent(took)),
+        Some(UpstreamResult::NotSent) => (AttemptResult::NotSent, None, Outcome::Broken),
+        Some(UpstreamResult::Broken) => (AttemptResult::Unknown, None, Outcome::Broken),
+        None if sent => (AttemptResult::Unknown, None, Outcome::TimedOut(took)),
+        None => (AttemptResult::NotSent, None, Outcome::TimedOut(took)),
     }
 }
 
-fn response_head(reply: &Reply) -> Head {
+fn response_head(reply: &Reply) -> ResponseHead {
     let has = |name| reply.head.header(&reply.bytes, name).is_some();
-    Head {
+    ResponseHead {
         status: reply.head.status,
         not_executed: has("limeway-not-executed"),
         stamped: has("limeway-server-stamp"),
@@ -242,7 +257,7 @@
 impl Drop for OutcomeReport<'_> {
     fn drop(&mut self) {
         if !self.reported.get() {
-            self.report(Outcome::Dropped);
+            self.report(Outcome::Cancelled);
         }
     }
 }
--- a/crates/data/load-balancing/tests/choice.rs
+++ b/crates/data/load-balancing/tests/selector.rs
@@ -1,18 +1,25 @@
 //! Which server is chosen, and what a limiter may spend on further tries.
 
-use limeway_load_balancing::{cold_share, Candidate, Near, Outcome, Selector, Tries};
+use limeway_load_balancing::{slow_start_share, Candidate, Locality, Outcome, RetryBudget, Selector};
 use rstest::rstest;
 use std::rc::Rc;
 
 const MS: u64 = 1_000;
 
-fn candidate(id: &str, near: Near) -> Candidate {
-    Candidate { id: Rc::from(id), slots: 3, near, cold: None, silent: false, most: 100 }
+fn candidate(id: &str, near: Locality) -> Candidate {
+    Candidate {
+        id: Rc::from(id),
+        capacity_slots: 3,
+        locality: near,
+        slow_start_rate: None,
+        unresponsive: false,
+        max_outstanding: 100,
+    }
 }
 
 fn choose(selector: &mut Selector, now: u64, candidates: &[Candidate]) -> Option<String> {
     let id = selector.choose(now, candidates, &[])?;
-    let cold = candidates.iter().any(|c| c.id == id && c.cold.is_some());
+    let cold = candidates.iter().any(|c| c.id == id && c.slow_start_rate.is_some());
     selector.sent(now, &id, cold);
     Some(id.to_string())
 }
@@ -20,7 +27,11 @@
 #[rstest]
 fn the_own_zone_first_then_the_region_and_afar_only_what_would_be_lost() {
     let mut selector = Selector::default();
-    let all = [candidate("z", Near::Zone), candidate("r", Near::Region), candidate("f", Near::Far)];
+    let all = [
+        candidate("z", Locality::Zone),
+        candidate("r", Locality::Region),
+        candidate("f", Locality::OtherRegion),
+    ];
     let order: Vec<_> = (0..14).filter_map(|_| choose(&mut selector, 0, &all)).collect();
     assert_eq!(order[0], "z");
     let far = order.iter().position(|id| id == "f").expect("spills at last");
@@ -31,11 +42,11 @@
 #[rstest]
 fn a_server_that_breaks_off_again_and_again_is_left_alone_and_tried_by_one_request() {
     let mut selector = Selector::default();
-    let all = [candidate("bad", Near::Zone), candidate("good", Near::Region)];
+    let all = [candidate("bad", Locality::Zone), candidate("good", Locality::Region)];
     let bad: Rc<str> = Rc::from("bad");
     for n in 0..3 {
         selector.sent(n * MS, &bad, false);
-        selector.ended(n * MS, &bad, Outcome::Broke);
+        selector.ended(n * MS, &bad, Outcome::Broken);
     }
     let soon: Vec<_> = (0..4).filter_map(|_| choose(&mut selector, 10 * MS, &all)).collect();
     assert!(soon.iter().all(|id| id == "good"), "{soon:?}");
@@ -47,7 +58,7 @@
 #[rstest]
 fn a_server_that_is_silent_gets_nothing_more() {
     let mut selector = Selector::default();
-    let all = [candidate("stuck", Near::Zone), candidate("well", Near::Region)];
+    let all = [candidate("stuck", Locality::Zone), candidate("well", Locality::Region)];
     assert_eq!(choose(&mut selector, 0, &all).as_deref(), Some("stuck"));
     assert_eq!(choose(&mut selector, 900 * MS, &all).as_deref(), Some("well"));
 }
@@ -56,8 +67,8 @@
 fn no_more_is_out_at_a_server_than_this_limiters_part_of_its_connections() {
     let mut selector = Selector::default();
     let all = [
-        Candidate { most: 4, ..candidate("z", Near::Zone) },
-        Candidate { most: 2, ..candidate("r", Near::Region) },
+        Candidate { max_outstanding: 4, ..candidate("z", Locality::Zone) },
+        Candidate { max_outstanding: 2, ..candidate("r", Locality::Region) },
     ];
     let sent: Vec<_> = (0..20).filter_map(|_| choose(&mut selector, 0, &all)).collect();
     assert_eq!((sent.len(), sent.iter().filter(|id| *id == "z").count()), (6, 4));
@@ -68,12 +79,12 @@
 #[case(15.35, 2)]
 #[case(38.0, 4)]
 fn cold_servers_get_no_more_than_all_may_send(#[case] most: f64, #[case] sharers: usize) {
-    let rate = cold_share(most, sharers);
+    let rate = slow_start_share(most, sharers);
     // One limiter more than there should be, as they may see the fleet differently.
     let mut sent: Vec<u64> = Vec::new();
     for _ in 0..=sharers {
         let mut selector = Selector::default();
-        let cold = [Candidate { cold: Some(rate), ..candidate("cold", Near::Zone) }];
+        let cold = [Candidate { slow_start_rate: Some(rate), ..candidate("cold", Locality::Zone) }];
         for t in 0..6_000 {
             if choose(&mut selector, 1_000_000 + t * MS, &cold).is_some() {
                 selector.ended(1_000_000 + t * MS, &cold[0].id, Outcome::Answered(MS));
@@ -92,16 +103,16 @@
 #[case(0.2, 4.0)]
 #[case(0.2, 0.0)]
 fn further_tries_keep_the_budget_over_any_span(#[case] ratio: f64, #[case] slack: f64) {
-    let (mut tries, service) = (Tries::new(ratio, 10_000_000), Rc::from("s"));
+    let (mut tries, service) = (RetryBudget::new(ratio, 10_000_000), Rc::from("s"));
     let (mut firsts, mut more) = (Vec::new(), Vec::new());
     for t in 0..60_000u64 {
         let now = t * MS;
         // Bursts and pauses.
         if t % 20 == 0 && (t / 7_000) % 2 == 0 {
-            tries.first(now, &service);
+            tries.count_request(now, &service);
             firsts.push(t);
         }
-        if tries.again(now, &service, slack) {
+        if tries.try_retry(now, &service, slack) {
             more.push(t);
         }
     }
