--- /dev/null
+++ b/crates/control/control-plane/tests/replica/cluster.rs
@@ -0,0 +1,260 @@
+//! A few replicas whose messages and writes are performed by the test, step by step: events in, actions out, without the simulator.
+
+use limeway_consensus::{Acceptor, NodeId};
+use limeway_control_plane::messages::{Call, Reply};
+use limeway_control_plane::{
+    Action, ApiRequest, ApiResponse, CallerId, ControlPlane, Event, LogRecord, RequestId, StartOptions,
+    Timestamp, WriteId,
+};
+use limeway_quota::QuotaRule;
+use limeway_routing_config::{ConfigUpdate, State};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// A millisecond, in microseconds.
+pub const MS: u64 = 1_000;
+/// A second, in microseconds.
+pub const SECOND: u64 = 1_000 * MS;
+/// When the replicas start.
+pub const START: Timestamp = 100 * SECOND;
+/// How long a step of [`Cluster::run`] is.
+const STEP: u64 = 5 * MS;
+
+pub fn options(node: NodeId, seeds: &[NodeId]) -> StartOptions {
+    StartOptions {
+        node,
+        incarnation: 1_000 + u64::from(node),
+        ack_timeout: 6 * SECOND,
+        loss_counted: true,
+        tolerated_losses: 1,
+        quota_rule: QuotaRule { span: 5 * SECOND, overshoot: 0.1, slack: 20.0 },
+        server_heartbeat: 500 * MS,
+        seeds: seeds.to_vec(),
+        initial_start: true,
+        acceptor: Acceptor::default(),
+        state: State::default(),
+    }
+}
+
+/// An update of the configuration to a version with one tenant, built on another version.
+pub fn update(version: u32, base_version: u32) -> ConfigUpdate {
+    let text = format!(
+        r#"{{"config-version":"{version:08x}","base-version":"{base_version:08x}","resource-list":[{{"resource-kind":"tenants","metadata":{{"name":"t{version}"}},"specification":{{"api-keys":["k{version}"],"rate-per-s":50}}}}]}}"#
+    );
+    ConfigUpdate::parse(text.as_bytes(), true).expect("a valid update")
+}
+
+struct Node {
+    replica: ControlPlane,
+    writes: VecDeque<(WriteId, LogRecord)>,
+    /// The disk takes no writes: they wait.
+    disk_hangs: bool,
+    records: Vec<LogRecord>,
+    requests: BTreeMap<RequestId, Timestamp>,
+    exited: bool,
+}
+
+/// A message under way.
+enum Message {
+    Call { from: NodeId, request: RequestId, to: NodeId, call: Call },
+    Reply { to: NodeId, request: RequestId, reply: Option<Reply> },
+}
+
+/// The replicas, the time, and whatever is under way.
+pub struct Cluster {
+    pub now: Timestamp,
+    nodes: BTreeMap<NodeId, Node>,
+    network: VecDeque<Message>,
+    /// Callers of a replica that are replicas: who waits for the reply, and to which request.
+    callers: BTreeMap<(NodeId, CallerId), (NodeId, RequestId)>,
+    next_caller: CallerId,
+    cut: BTreeSet<NodeId>,
+    responses: BTreeMap<CallerId, ApiResponse>,
+}
+
+impl Cluster {
+    /// Replicas 1 to `count` of an initial start.
+    pub fn start(count: NodeId) -> Self {
+        let mut cluster = Cluster {
+            now: START,
+            nodes: BTreeMap::new(),
+            network: VecDeque::new(),
+            callers: BTreeMap::new(),
+            next_caller: 0,
+            cut: BTreeSet::new(),
+            responses: BTreeMap::new(),
+        };
+        let seeds: Vec<NodeId> = (1..=count.min(3)).collect();
+        for node in 1..=count {
+            cluster.add(options(node, &seeds));
+        }
+        cluster
+    }
+
+    /// Starts a replica.
+    pub fn add(&mut self, options: StartOptions) {
+        let node = options.node;
+        let mut actions = Vec::new();
+        let replica = ControlPlane::new(self.now, options, &mut actions);
+        let (writes, records, requests) = (VecDeque::new(), Vec::new(), BTreeMap::new());
+        self.nodes
+            .insert(node, Node { replica, writes, disk_hangs: false, records, requests, exited: false });
+        self.perform(node, actions);
+    }
+
+    /// Ends a process at once: what was not written is lost.
+    pub fn kill(&mut self, node: NodeId) {
+        self.nodes.remove(&node);
+    }
+
+    /// Cuts a replica off from the others, or joins it again.
+    pub fn set_cut(&mut self, node: NodeId, cut: bool) {
+        if cut {
+            self.cut.insert(node);
+        } else {
+            self.cut.remove(&node);
+        }
+    }
+
+    /// Has a disk hang, or go on.
+    pub fn set_disk_hangs(&mut self, node: NodeId, hangs: bool) {
+        self.node_mut(node).disk_hangs = hangs;
+    }
+
+    pub fn replica(&self, node: NodeId) -> &ControlPlane {
+        &self.nodes.get(&node).expect("a running replica").replica
+    }
+
+    /// The records that a replica's disk has taken.
+    pub fn records(&self, node: NodeId) -> &[LogRecord] {
+        &self.nodes.get(&node).expect("a running replica").records
+    }
+
+    pub fn has_exited(&self, node: NodeId) -> bool {
+        self.nodes.get(&node).expect("a replica").exited
+    }
+
+    fn node_mut(&mut self, node: NodeId) -> &mut Node {
+        self.nodes.get_mut(&node).expect("a running replica")
+    }
+
+    /// Hands a replica an event.
+    pub fn handle(&mut self, node: NodeId, event: Event) {
+        let now = self.now;
+        let mut actions = Vec::new();
+        self.node_mut(node).replica.handle(now, event, &mut actions);
+        self.perform(node, actions);
+    }
+
+    /// Calls the API of a replica. The response is there once [`Cluster::response`] has it.
+    pub fn call_api(&mut self, node: NodeId, request: ApiRequest) -> CallerId {
+        self.next_caller += 1;
+        let caller = self.next_caller;
+        self.handle(node, Event::ApiCall(caller, request));
+        caller
+    }
+
+    pub fn response(&self, caller: CallerId) -> Option<&ApiResponse> {
+        self.responses.get(&caller)
+    }
+
+    /// Calls the API and waits for the response.
+    pub fn ask(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
+        let caller = self.call_api(node, request);
+        let end = self.now + 2 * SECOND;
+        while self.response(caller).is_none() && self.now < end {
+            self.run(STEP);
+        }
+        self.response(caller).cloned().expect("a response in time")
+    }
+
+    fn perform(&mut self, node: NodeId, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Send { request, to, call, timeout } => {
+                    let deadline = self.now + timeout;
+                    self.node_mut(node).requests.insert(request, deadline);
+                    self.network.push_back(Message::Call { from: node, request, to, call });
+                }
+                Action::Reply(caller, reply) => {
+                    let waiting = self.callers.remove(&(node, caller));
+                    let Some((to, request)) = waiting.filter(|_| !self.cut.contains(&node)) else { continue };
+                    self.network.push_back(Message::Reply { to, request, reply: Some(reply) });
+                }
+                Action::Respond(caller, response) => {
+                    self.responses.insert(caller, response);
+                }
+                Action::Write(id, record) => self.node_mut(node).writes.push_back((id, record)),
+                Action::Exit => self.node_mut(node).exited = true,
+            }
+        }
+    }
+
+    /// Delivers one message. Those of replicas that are cut off or have ended are lost.
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Call { from, request, to, call } => {
+                if self.cut.contains(&from) || self.cut.contains(&to) || !self.nodes.contains_key(&to) {
+                    return;
+                }
+                self.next_caller += 1;
+                let caller = self.next_caller;
+                self.callers.insert((to, caller), (from, request));
+                self.handle(to, Event::Call(caller, call));
+            }
+            Message::Reply { to, request, reply } => {
+                let lost = reply.is_some() && self.cut.contains(&to);
+                if lost || !self.nodes.contains_key(&to) {
+                    return;
+                }
+                if self.node_mut(to).requests.remove(&request).is_some() {
+                    self.handle(to, Event::Reply(request, reply));
+                }
+            }
+        }
+    }
+
+    /// Performs writes, messages, time-outs and ticks for so long.
+    pub fn run(&mut self, duration: u64) {
+        let end = self.now + duration;
+        while self.now < end {
+            self.settle();
+            self.now += STEP;
+            self.expire_requests();
+            for node in self.nodes.keys().copied().collect::<Vec<_>>() {
+                if self.replica(node).next_tick() <= self.now {
+                    self.handle(node, Event::Tick);
+                }
+            }
+        }
+        self.settle();
+    }
+
+    /// Performs writes and messages until none is left.
+    fn settle(&mut self) {
+        loop {
+            self.complete_writes();
+            let Some(message) = self.network.pop_front() else { return };
+            self.deliver(message);
+        }
+    }
+
+    fn complete_writes(&mut self) {
+        for node in self.nodes.keys().copied().collect::<Vec<_>>() {
+            while !self.node_mut(node).disk_hangs {
+                let Some((id, record)) = self.node_mut(node).writes.pop_front() else { break };
+                self.node_mut(node).records.push(record);
+                self.handle(node, Event::WriteCompleted(id, true));
+            }
+        }
+    }
+
+    fn expire_requests(&mut self) {
+        let now = self.now;
+        for (to, node) in &self.nodes {
+            let expired = node.requests.iter().filter(|(_, deadline)| **deadline <= now);
+            for (request, _) in expired {
+                self.network.push_back(Message::Reply { to: *to, request: *request, reply: None });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/control/control-plane/tests/replica/main.rs
@@ -0,0 +1,8 @@
+//! A few replicas, played event by event: quorum contact, proposals, voters, role leases, snapshots.
+
+mod cluster;
+mod proposals;
+mod quorum;
+mod role_leases;
+mod snapshots;
+mod voters;
--- /dev/null
+++ b/crates/control/control-plane/tests/replica/proposals.rs
@@ -0,0 +1,107 @@
+//! Updates of operators: one number, one update; what was confirmed is on disk at a majority.
+
+use crate::cluster::{update, Cluster, MS, SECOND};
+use crate::snapshots::restore;
+use limeway_control_plane::{ApiRequest, ApiResponse};
+use rstest::rstest;
+
+#[rstest]
+fn a_confirmed_update_is_on_disk_at_a_majority() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    assert_eq!(cluster.ask(2, ApiRequest::UpdateConfig(update(1, 0))), ApiResponse::Done);
+    let on_disk = (1..=3).filter(|node| restore(cluster.records(*node)).version == 1).count();
+    assert!(on_disk >= 2, "on {on_disk} disks");
+}
+
+/// With every other disk hanging nothing can be confirmed.
+#[rstest]
+fn no_update_is_confirmed_before_a_majority_has_written_it() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    cluster.set_disk_hangs(2, true);
+    cluster.set_disk_hangs(3, true);
+    assert_eq!(cluster.ask(1, ApiRequest::UpdateConfig(update(1, 0))), ApiResponse::Indeterminate);
+    cluster.set_disk_hangs(2, false);
+    cluster.set_disk_hangs(3, false);
+    cluster.run(2 * SECOND);
+    assert_eq!(
+        cluster.ask(1, ApiRequest::UpdateConfig(update(1, 0))),
+        ApiResponse::Done,
+        "the same call, again"
+    );
+}
+
+#[rstest]
+fn of_two_updates_on_one_base_one_is_confirmed_and_the_other_conflicts() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    let one = cluster.call_api(1, ApiRequest::UpdateConfig(update(7, 0)));
+    let two = cluster.call_api(2, ApiRequest::UpdateConfig(update(8, 0)));
+    cluster.run(900 * MS);
+    let mut responses = [cluster.response(one).cloned(), cluster.response(two).cloned()];
+    responses.sort_by_key(|response| *response != Some(ApiResponse::Done));
+    assert_eq!(responses, [Some(ApiResponse::Done), Some(ApiResponse::VersionConflict)]);
+}
+
+/// The answer was lost: the call comes again unchanged, to any replica, also after later updates.
+#[rstest]
+#[case(1)]
+#[case(3)]
+fn a_retry_of_a_confirmed_update_is_confirmed_again(#[case] node: u32) {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    assert_eq!(cluster.ask(1, ApiRequest::UpdateConfig(update(1, 0))), ApiResponse::Done);
+    assert_eq!(cluster.ask(1, ApiRequest::UpdateConfig(update(2, 1))), ApiResponse::Done);
+    assert_eq!(cluster.ask(node, ApiRequest::UpdateConfig(update(1, 0))), ApiResponse::Done);
+    cluster.run(SECOND);
+    assert_eq!(cluster.replica(node).state().version, 2, "it is not applied a second time");
+}
+
+#[rstest]
+fn an_invalid_update_is_rejected_and_changes_nothing() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    assert_eq!(cluster.ask(1, ApiRequest::UpdateConfig(update(5, 0))), ApiResponse::Done);
+    let response = cluster.ask(2, ApiRequest::UpdateConfig(update(4, 5)));
+    assert!(matches!(response, ApiResponse::Invalid(_)), "{response:?}");
+    assert_eq!(cluster.replica(2).state().version, 5);
+}
+
+/// Its proposer is gone before anyone heard that the value is chosen: the others complete it.
+#[rstest]
+fn an_accepted_value_is_completed_by_others() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    let (slot, version) = (cluster.replica(2).state().slot, 9);
+    cluster.call_api(1, ApiRequest::UpdateConfig(update(version, 0)));
+    // Both others accept, and the proposer ends before it can say so.
+    cluster.set_cut(1, true);
+    cluster.kill(1);
+    cluster.run(3 * SECOND);
+    let state = cluster.replica(2).state().clone();
+    assert!(state.version == 0 || state.version == version);
+    assert_eq!(state.version, cluster.replica(3).state().version, "the others agree");
+    assert_eq!(cluster.ask(2, ApiRequest::UpdateConfig(update(version, 0))), ApiResponse::Done);
+    assert!(cluster.replica(2).state().slot > slot);
+}
+
+#[rstest]
+fn evacuations_are_counted_and_a_retry_is_not_counted_twice() {
+    let mut cluster = Cluster::start(3);
+    cluster.run(SECOND);
+    let evacuate = |starts| ApiRequest::Evacuate { zone: "north".into(), starts };
+    let ApiResponse::EvacuationDone(first) = cluster.ask(1, evacuate(true)) else { panic!("not done") };
+    // Its answer did not arrive: the same caller calls again, elsewhere.
+    cluster.run(SECOND);
+    assert!(matches!(cluster.ask(2, evacuate(true)), ApiResponse::EvacuationDone(_)));
+    cluster.run(200 * MS);
+    assert_eq!(cluster.replica(1).state().evacuated.get("north"), Some(&1), "call {first}");
+    let ApiResponse::EvacuationDone(second) = cluster.ask(3, evacuate(true)) else { panic!("not done") };
+    cluster.handle(3, limeway_control_plane::Event::ResponseDelivered(second));
+    cluster.run(SECOND);
+    // The answer of the last one has arrived, so this is another operator's.
+    assert!(matches!(cluster.ask(1, evacuate(true)), ApiResponse::EvacuationDone(_)));
+    cluster.run(200 * MS);
+    assert_eq!(cluster.replica(3).state().evacuated.get("north"), Some(&2));
+}
