--- a/crates/balancer/src/control_api/mod.rs
+++ b/crates/balancer/src/control_api/mod.rs
@@ -27,7 +27,7 @@
 /// How long a connection may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// A caller waits a second for a response: one that closes its connection sooner than this has taken it.
 const CALLER_PATIENCE: Micros = 850_000;
 
@@ -65,7 +65,7 @@
     let count = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if count.get() >= MAX_CONNECTIONS {
--- a/crates/balancer/src/directory.rs
+++ b/crates/balancer/src/directory.rs
@@ -49,6 +49,6 @@
     let farthest = all.first()?.0.max(Distance::SameRegion);
     let near = all.iter().filter(|(distance, _)| *distance <= farthest).take(MAX_ADDRESSES);
     let addresses: Vec<String> = near.map(|(_, address)| format!("\"{address}\"")).collect();
-    let ttl = TTL.min(settings.bounds.ttl_most) / 1_000;
+    let ttl = TTL.min(settings.bounds.max_ttl) / 1_000;
     Some(format!("{{\"addresses\":[{}],\"ttl\":\"{ttl}ms\"}}", addresses.join(",")))
 }
--- a/crates/balancer/src/gateway/following.rs
+++ b/crates/balancer/src/gateway/following.rs
@@ -26,7 +26,7 @@
 /// And how long in all, while chunks of it keep coming.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Shortest pause between two looks at what to do.
-const MIN_PAUSE: Micros = 1_000;
+const MIN_DELAY: Micros = 1_000;
 
 /// What this gateway knows of the system, and how it follows it.
 pub(super) struct Following {
@@ -65,7 +65,7 @@
             };
             match action {
                 FollowerAction::Wait(until) => {
-                    sleep(Duration::from_micros(until.saturating_sub(started).max(MIN_PAUSE))).await;
+                    sleep(Duration::from_micros(until.saturating_sub(started).max(MIN_DELAY))).await;
                 }
                 FollowerAction::Poll(upstream) => self.poll(upstream).await,
                 FollowerAction::Fetch(upstream, request) => self.fetch(upstream, request).await,
--- a/crates/balancer/src/gateway/quota.rs
+++ b/crates/balancer/src/gateway/quota.rs
@@ -8,7 +8,7 @@
 use limeway_membership::{preferred_node, shard_of, Holder, NodeId};
 use limeway_quota::escrow::UnitResult;
 use limeway_quota::lease_client::{
-    LeaseClient, OutgoingRequest, QuotaReport, RequestOutcome, SettledWaiter, WaiterId,
+    LeaseClient, OutgoingRequest, QuotaReport, RequestOutcome, ResolvedWaiter, WaiterId,
 };
 use limeway_quota::{QuotaRule, WindowBudget};
 use limeway_types::Micros;
@@ -70,9 +70,9 @@
     }
 
     /// Tells waiting requests what has become of them.
-    fn settle(&self, settled: Vec<SettledWaiter>) {
+    fn resolve_waiters(&self, resolved: Vec<ResolvedWaiter>) {
         let mut waiters = self.waiters.borrow_mut();
-        for SettledWaiter { id, result } in settled {
+        for ResolvedWaiter { id, result } in resolved {
             if let Some(waiter) = waiters.remove(&id) {
                 // Its client may be gone.
                 let _ = waiter.send(result);
@@ -86,13 +86,13 @@
     quota: &'a QuotaClient,
     tenant: &'a str,
     waiter_id: Option<WaiterId>,
-    settled: bool,
+    resolved: bool,
 }
 
 impl Drop for UnitWait<'_> {
     fn drop(&mut self) {
         match self.waiter_id {
-            _ if self.settled => {}
+            _ if self.resolved => {}
             None => self.quota.client.borrow_mut().cancel_wait(self.tenant),
             Some(waiter_id) => {
                 self.quota.client.borrow_mut().abandon(waiter_id);
@@ -127,7 +127,7 @@
             UnitResult::Exhausted(left) => return Err(left),
             UnitResult::Wait => quota.waited.set(quota.waited.get() + 1),
         }
-        let mut wait = UnitWait { quota, tenant, waiter_id: None, settled: false };
+        let mut wait = UnitWait { quota, tenant, waiter_id: None, resolved: false };
         if quota.is_counter_remote() && self.borrow_unit(tenant, shard).await {
             return Ok(());
         }
@@ -148,13 +148,13 @@
 
     async fn wait_for_unit(&self, wait: &mut UnitWait<'_>, span: WindowBudget) -> Result<(), Micros> {
         let quota = &self.quota;
-        let (sender, settled) = oneshot::channel();
+        let (sender, resolved) = oneshot::channel();
         let waiter_id = quota.client.borrow_mut().enqueue(now(), wait.tenant, span);
         quota.waiters.borrow_mut().insert(waiter_id, sender);
         wait.waiter_id = Some(waiter_id);
         quota.lease_now.notify_one();
-        let result = settled.await;
-        wait.settled = true;
+        let result = resolved.await;
+        wait.resolved = true;
         result.unwrap_or(Err(quota.rule.window_length()))
     }
 
@@ -201,8 +201,8 @@
         loop {
             let started = Instant::now();
             let near = !self.quota.is_counter_remote();
-            let (requests, settled) = self.quota.client.borrow_mut().poll(now(), &self.holders(), near);
-            self.quota.settle(settled);
+            let (requests, resolved) = self.quota.client.borrow_mut().poll(now(), &self.holders(), near);
+            self.quota.resolve_waiters(resolved);
             for request in requests {
                 tokio::task::spawn_local(self.clone().send_lease_request(request));
             }
@@ -233,8 +233,8 @@
             Err(CallError::TimedOut | CallError::Overloaded) => RequestOutcome::TimedOut,
         };
         self.quota.observe_latency(now() - request.sent);
-        let settled = self.quota.client.borrow_mut().handle_outcome(now(), &request, &outcome);
-        self.quota.settle(settled);
+        let resolved = self.quota.client.borrow_mut().handle_outcome(now(), &request, &outcome);
+        self.quota.resolve_waiters(resolved);
         self.quota.lease_now.notify_one();
     }
 }
--- a/crates/balancer/src/process.rs
+++ b/crates/balancer/src/process.rs
@@ -28,7 +28,7 @@
 /// File descriptors that are not for clients.
 const RESERVED_FILE_DESCRIPTORS: usize = 700;
 /// Part of the grace period in which new connections are accepted after SIGTERM; the rest goes to requests in flight.
-const ACCEPTING_PART_OF_GRACE: f64 = 0.55;
+const ACCEPTING_GRACE_FRACTION: f64 = 0.55;
 /// What is left of the grace period when the process exits in any case.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// Interval at which requests in flight are looked at during shutdown.
@@ -171,7 +171,7 @@
     log::info!("shutting down");
     gateway.drain();
     clients.start_draining();
-    sleep(grace.mul_f64(ACCEPTING_PART_OF_GRACE)).await;
+    sleep(grace.mul_f64(ACCEPTING_GRACE_FRACTION)).await;
     if let Some(accepting) = accepting {
         accepting.abort();
     }
--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -154,7 +154,7 @@
 
     fn pay_for_retry(&self) -> bool {
         let slack = self.gateway.share_of(self.gateway.settings.bounds.retry_slack);
-        self.gateway.retries.borrow_mut().try_retry(now(), self.service, slack)
+        self.gateway.retries.borrow_mut().take_retry(now(), self.service, slack)
     }
 
     /// Whether to leave a server that does not respond: only for a healthy one, within the retry budget. Not during shutdown: what a
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -30,14 +30,14 @@
 /// No connection stays idle for longer, whatever a configuration says.
 const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(3_600);
 /// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections of clients, for ever.
 pub async fn listen(gateway: Rc<Gateway>, clients: Rc<ClientConnections>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             gateway.endpoints.pools.prune();
-            sleep(ACCEPT_RETRY_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if clients.is_full() {
--- a/crates/balancer/src/readiness.rs
+++ b/crates/balancer/src/readiness.rs
@@ -15,14 +15,14 @@
 /// What a request may be.
 const BOUNDS: Bounds = Bounds { body: 1024, whole: Duration::from_secs(2), idle: Duration::from_secs(5) };
 /// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers probes and directory requests for ever.
 pub(crate) async fn listen(gateway: Rc<Gateway>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if open.get() >= MAX_CONNECTIONS {
--- a/crates/balancer/src/state_writer.rs
+++ b/crates/balancer/src/state_writer.rs
@@ -28,7 +28,7 @@
 /// Bytes of the records that wait beyond which no more are taken: a hang must not use up the memory.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
 /// Pause before a disk that refuses to open the file is tried again.
-const OPEN_RETRY_PAUSE: Duration = Duration::from_millis(200);
+const OPEN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long that is tried.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(60);
 /// Stack of the threads here, in bytes.
@@ -161,6 +161,6 @@
             return opened;
         }
         log::warn!("the disk refuses the state file, retrying");
-        std::thread::sleep(OPEN_RETRY_PAUSE);
+        std::thread::sleep(OPEN_RETRY_DELAY);
     }
 }
--- a/crates/balancer/src/transport/server.rs
+++ b/crates/balancer/src/transport/server.rs
@@ -21,7 +21,7 @@
 /// An idle connection is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes calls for ever, and has each handled by `handler`.
 pub async fn listen<F, H>(listener: TcpListener, handler: H)
@@ -32,7 +32,7 @@
     let count = Rc::new(Cell::new(0usize));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if count.get() >= MAX_CONNECTIONS {
--- a/crates/control/control-plane/src/agreement.rs
+++ b/crates/control/control-plane/src/agreement.rs
@@ -168,7 +168,7 @@
             self.persist(vec![AfterWrite::OwnVote(ballot, reply)]);
         } else {
             self.handle_vote(ballot, self.options.node, reply);
-            self.vote_settled(ballot);
+            self.reply_counted(ballot);
         }
     }
 
@@ -176,11 +176,11 @@
         if let Some(Reply::Acceptor(reply)) = reply {
             self.handle_vote(ballot, node, reply);
         }
-        self.vote_settled(ballot);
+        self.reply_counted(ballot);
     }
 
     /// One reply fewer may still come. A proposal that cannot succeed any more is not waited for.
-    pub(crate) fn vote_settled(&mut self, ballot: u64) {
+    pub(crate) fn reply_counted(&mut self, ballot: u64) {
         let Some(current) = self.agreement.ballot.as_mut().filter(|b| b.number == ballot) else { return };
         current.outstanding = current.outstanding.saturating_sub(1);
         if current.outstanding == 0 {
--- a/crates/control/control-plane/src/persistence.rs
+++ b/crates/control/control-plane/src/persistence.rs
@@ -162,7 +162,7 @@
                 }
                 AfterWrite::OwnVote(ballot, reply) => {
                     self.handle_vote(ballot, self.options.node, reply);
-                    self.vote_settled(ballot);
+                    self.reply_counted(ballot);
                 }
                 AfterWrite::Committed(caller) => self.actions.push(Action::Reply(caller, Reply::Done)),
             }
@@ -176,7 +176,7 @@
                 AfterWrite::Reply(caller, _) => {
                     self.actions.push(Action::Reply(caller, Reply::Acceptor(AcceptorReply::Abstained)));
                 }
-                AfterWrite::OwnVote(ballot, _) => self.vote_settled(ballot),
+                AfterWrite::OwnVote(ballot, _) => self.reply_counted(ballot),
                 AfterWrite::Committed(caller) => self.actions.push(Action::Reply(caller, Reply::Declined)),
             }
         }
--- a/crates/control/control-plane/src/voters.rs
+++ b/crates/control/control-plane/src/voters.rs
@@ -155,8 +155,8 @@
             let replaced = std::mem::replace(&mut voters[at], candidate);
             return Some((voters, Some(replaced)));
         }
-        let wanted = (2 * self.options.tolerated_losses + 1).min(MAX_VOTERS);
-        if voters.len() >= wanted {
+        let desired = (2 * self.options.tolerated_losses + 1).min(MAX_VOTERS);
+        if voters.len() >= desired {
             return None;
         }
         voters.push(candidate);
--- a/crates/control/control-plane/tests/encoding.rs
+++ b/crates/control/control-plane/tests/encoding.rs
@@ -90,7 +90,7 @@
 }
 
 fn request() -> QuotaRequest {
-    let ask = TenantRequest { tenant: "t-1".into(), needed: 4, wanted: 6, extra: 1, held: 3 };
+    let ask = TenantRequest { tenant: "t-1".into(), needed: 4, desired: 6, extra: 1, held: 3 };
     let block = LeasedBlock { tenant: "t-1".into(), units: 3, spent: 2, remaining: 4_000_000 };
     QuotaRequest {
         shard: 2,
--- a/crates/control/distribution/src/cache.rs
+++ b/crates/control/distribution/src/cache.rs
@@ -182,7 +182,7 @@
             StateUpdate::Chunk(chunk) => self.receive_chunk(chunk),
             StateUpdate::FetchFromCore(_) => {}
         }
-        self.settle_confirmations();
+        self.apply_confirmations();
         self.state.slot > before
     }
 
@@ -209,7 +209,7 @@
     }
 
     /// Takes over the confirmations of slots that are reached now.
-    pub(crate) fn settle_confirmations(&mut self) {
+    pub(crate) fn apply_confirmations(&mut self) {
         let slot = self.state.slot;
         let reached = self.pending_confirmations.iter().filter(|(s, _)| *s <= slot);
         let newest = reached.map(|(_, confirmed_at)| *confirmed_at).max().unwrap_or(0);
--- a/crates/control/distribution/src/follower.rs
+++ b/crates/control/distribution/src/follower.rs
@@ -25,7 +25,7 @@
 /// Pause between two requests while all upstreams are in backoff, or after a response that brought nothing.
 pub const RETRY_INTERVAL: Micros = 100_000;
 /// Pause after a superseded response: its upstream will learn of the next confirmation soon.
-const SUPERSEDED_PAUSE: Micros = 100_000;
+const SUPERSEDED_DELAY: Micros = 100_000;
 /// Chunks are fetched for so long at a stretch; then a poll renews the member lease and the freshness.
 const MAX_FETCH_STRETCH: Micros = 400_000;
 /// While all else is in backoff, each request of so many goes to a member.
@@ -254,7 +254,7 @@
         let complete_delta = is_small_delta(&response.state_update);
         let changes = cache.apply_response(now, polled, request.slot, response);
         if has_update && self.deferred.is_none_or(|deferred| deferred.slot <= cache.state.slot) {
-            self.pause_without_progress(now, request, cache);
+            self.delay_without_progress(now, request, cache);
         }
         if complete_delta && changes.state {
             self.not_before = self.not_before.max(now + UPDATE_SPACING);
@@ -294,7 +294,7 @@
             }
             Freshness::Superseded => {
                 self.backoffs.remove(&upstream);
-                self.not_before = now + SUPERSEDED_PAUSE;
+                self.not_before = now + SUPERSEDED_DELAY;
             }
             Freshness::Stale => self.back_off(now, upstream),
         }
@@ -310,12 +310,12 @@
     ) -> ChangeSet {
         self.grow_requests();
         let changes = ChangeSet { state: cache.apply_update(request.slot, update), ..ChangeSet::default() };
-        self.pause_without_progress(now, request, cache);
+        self.delay_without_progress(now, request, cache);
         changes
     }
 
     /// What brought nothing (no update there, or a malformed one) is not requested again at once.
-    fn pause_without_progress(&mut self, now: Timestamp, request: &StateRequest, cache: &StateCache) {
+    fn delay_without_progress(&mut self, now: Timestamp, request: &StateRequest, cache: &StateCache) {
         let next = cache.state_request();
         if (next.slot, next.received) == (request.slot, request.received) {
             self.not_before = now + RETRY_INTERVAL;
--- a/crates/control/distribution/src/freshness.rs
+++ b/crates/control/distribution/src/freshness.rs
@@ -76,7 +76,7 @@
         if response.full_registry && freshness != Freshness::Stale {
             // A server that is not named may be gone, or the upstream may have just started.
             let listed: BTreeSet<&str> = response.servers.iter().map(|report| report.id.as_str()).collect();
-            self.registry.mark_unlisted(|id| !listed.contains(id));
+            self.registry.flag_unlisted(|id| !listed.contains(id));
         }
         let servers = self.registry.revision != revision;
         let mut members = false;
@@ -107,6 +107,6 @@
             self.pending_confirmations.pop_front();
         }
         self.pending_confirmations.push_back((slot, confirmed_at));
-        self.settle_confirmations();
+        self.apply_confirmations();
     }
 }
--- a/crates/control/service-registry/src/registry.rs
+++ b/crates/control/service-registry/src/registry.rs
@@ -135,7 +135,7 @@
 
     /// Marks instances that an upstream's full list leaves out: they count as unresponsive until they are reported again, be it with
     /// a report that is known already.
-    pub fn mark_unlisted(&mut self, is_unlisted: impl Fn(&str) -> bool) {
+    pub fn flag_unlisted(&mut self, is_unlisted: impl Fn(&str) -> bool) {
         for (_, server) in self.servers.iter_mut().filter(|(id, _)| is_unlisted(id)) {
             if !server.unlisted && server.phase != Phase::Gone {
                 self.revision += 1;
--- a/crates/control/service-registry/tests/reports.rs
+++ b/crates/control/service-registry/tests/reports.rs
@@ -102,7 +102,7 @@
 fn a_doubt_ends_with_the_next_word_on_a_server() {
     let mut watch = ServiceRegistry::default();
     watch.observe(SECOND, &report("a", 3, Phase::Ready));
-    watch.mark_unlisted(|_| true);
+    watch.flag_unlisted(|_| true);
     assert!(watch.report(SECOND, "a").expect("known").unresponsive);
     assert_eq!(
         watch.observe(2 * SECOND, &report("a", 2, Phase::Ready)),
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -13,7 +13,7 @@
 const FOLDER: &str = "LIMEWAY_VAULT_TEST_FOLDER";
 const STEP: &str = "LIMEWAY_VAULT_TEST_STEP";
 /// Steps of the script, at most.
-const STEPS_MOST: usize = 1_000;
+const MAX_STEPS: usize = 1_000;
 
 /// Counts steps down; waits for the process's end at the last.
 #[derive(Debug, Clone)]
@@ -144,7 +144,7 @@
             break;
         }
         step += 1;
-        assert!(step < STEPS_MOST, "the script has no end");
+        assert!(step < MAX_STEPS, "the script has no end");
     }
     assert!(step > 100, "{step} steps are too few to mean anything");
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/data/http1/src/conn.rs
+++ b/crates/data/http1/src/conn.rs
@@ -16,7 +16,7 @@
 /// Longest pause within an answer that has begun: servers are near. Its length is bounded as well.
 const STALL: Duration = Duration::from_millis(250);
 /// Answers of the kind 1xx ahead of the real one, at most.
-const INTERIM_MOST: u32 = 8;
+const MAX_INTERIM: u32 = 8;
 /// Largest buffer that an idle connection keeps, in bytes.
 const BUFFER_KEPT: usize = 4 * 1024;
 
@@ -165,7 +165,7 @@
 
     /// Reads one whole answer, past those of the kind 1xx.
     pub async fn read(&mut self) -> Result<Reply, Broken> {
-        for _ in 0..=INTERIM_MOST {
+        for _ in 0..=MAX_INTERIM {
             if self.buffer.is_empty() {
                 self.more().await?;
             }
@@ -211,7 +211,7 @@
             return Err(Broken::Spoilt("no length"));
         }
         let make = if self.strict { Body::new } else { Body::lenient };
-        let mut body = make(head.framing, http::ANSWER_BODY_MOST);
+        let mut body = make(head.framing, http::MAX_ANSWER_BODY);
         while !open_end && !body.take(&mut self.buffer)? {
             self.more_soon().await?;
         }
--- a/crates/data/http1/src/http.rs
+++ b/crates/data/http1/src/http.rs
@@ -5,15 +5,15 @@
 use std::ops::Range;
 
 /// Longest head of a message, in bytes.
-pub const HEAD_MOST: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 /// Longest body of a request, in bytes.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY: usize = 64 * 1024;
 /// Longest body of an answer, in bytes: servers have been seen to send some 400 KB.
-pub const ANSWER_BODY_MOST: usize = 1024 * 1024;
+pub const MAX_ANSWER_BODY: usize = 1024 * 1024;
 /// Most headers of a message.
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Longest line that opens a chunk, in bytes; and all trailers together.
-const CHUNK_LINE_MOST: usize = 1024;
+const MAX_CHUNK_LINE: usize = 1024;
 
 /// Why a message cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -145,9 +145,9 @@
     headers.iter().map(|h| (place(bytes, h.name.as_bytes()), place(bytes, h.value))).collect()
 }
 
-/// Reads a request's head, for a body of [`BODY_MOST`]; nothing while it is not whole.
+/// Reads a request's head, for a body of [`MAX_BODY`]; nothing while it is not whole.
 pub fn request(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
-    request_within(bytes, HEAD_MOST, BODY_MOST)
+    request_within(bytes, MAX_HEAD, MAX_BODY)
 }
 
 /// Reads a request's head of so many bytes at most, for a body of so many at most; nothing while it is not whole.
@@ -157,7 +157,7 @@
 
 /// Reads a request's head as the limiter in service has read it so far: chunks may come with HTTP/1.0.
 pub fn request_lenient(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
-    request_as(bytes, HEAD_MOST, BODY_MOST, true)
+    request_as(bytes, MAX_HEAD, MAX_BODY, true)
 }
 
 fn request_as(
@@ -166,7 +166,7 @@
     body_most: usize,
     lenient: bool,
 ) -> Result<Option<Head>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let Some(len) = length(parsed.parse(bytes), bytes.len(), head_most)? else { return Ok(None) };
     let (Some(method), Some(target)) = (parsed.method, parsed.path) else { return Err(HttpError::Malformed) };
@@ -192,12 +192,12 @@
 
 /// Reads an answer's head; nothing while it is not whole.
 pub fn answer(bytes: &[u8]) -> Result<Option<Head>, HttpError> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let Some(len) = length(parsed.parse(bytes), bytes.len(), HEAD_MOST)? else { return Ok(None) };
+    let Some(len) = length(parsed.parse(bytes), bytes.len(), MAX_HEAD)? else { return Ok(None) };
     let status = parsed.code.unwrap_or(0);
     let bare = (100..200).contains(&status) || status == 204 || status == 304;
-    let framing = if bare { Framing::Length(0) } else { framing(parsed.headers, true, ANSWER_BODY_MOST)? };
+    let framing = if bare { Framing::Length(0) } else { framing(parsed.headers, true, MAX_ANSWER_BODY)? };
     Ok(Some(Head {
         len,
         framing,
@@ -299,15 +299,11 @@
         loop {
             if self.trailers {
                 let Some(end) = from.windows(2).position(|w| w == b"\r\n") else {
-                    return if from.len() > CHUNK_LINE_MOST {
-                        Err(HttpError::HeadTooLong)
-                    } else {
-                        Ok(false)
-                    };
+                    return if from.len() > MAX_CHUNK_LINE { Err(HttpError::HeadTooLong) } else { Ok(false) };
                 };
                 from.advance(end + 2);
                 self.trailing += end + 2;
-                if self.trailing > CHUNK_LINE_MOST {
+                if self.trailing > MAX_CHUNK_LINE {
                     return Err(HttpError::HeadTooLong);
                 }
                 if end == 0 {
@@ -341,7 +337,7 @@
                         self.trailers = size == 0;
                         self.chunk = (size > 0).then_some(size);
                     }
-                    Ok(httparse::Status::Partial) if from.len() <= CHUNK_LINE_MOST => return Ok(false),
+                    Ok(httparse::Status::Partial) if from.len() <= MAX_CHUNK_LINE => return Ok(false),
                     _ => return Err(HttpError::Malformed),
                 }
             }
--- a/crates/data/http1/src/inbound.rs
+++ b/crates/data/http1/src/inbound.rs
@@ -66,7 +66,7 @@
     /// A new connection.
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Inbound { stream, buffer: BytesMut::new(), since: Instant::now(), head_most: http::HEAD_MOST }
+        Inbound { stream, buffer: BytesMut::new(), since: Instant::now(), head_most: http::MAX_HEAD }
     }
 
     /// Whether the next request, or a part of it, is here already.
@@ -74,7 +74,7 @@
         !self.buffer.is_empty()
     }
 
-    /// Takes heads of so many bytes at most from now on, in place of [`http::HEAD_MOST`].
+    /// Takes heads of so many bytes at most from now on, in place of [`http::MAX_HEAD`].
     pub fn limit_head(&mut self, most: usize) {
         self.head_most = most;
     }
--- a/crates/data/http1/tests/codec.rs
+++ b/crates/data/http1/tests/codec.rs
@@ -152,7 +152,7 @@
 
 #[rstest]
 fn heads_and_trailers_without_end_are_refused() {
-    let long = format!("GET /a HTTP/1.1\r\nX: {}", "a".repeat(http::HEAD_MOST));
+    let long = format!("GET /a HTTP/1.1\r\nX: {}", "a".repeat(http::MAX_HEAD));
     assert!(matches!(http::request(long.as_bytes()), Err(HttpError::HeadTooLong)));
     let fits = format!("GET /a HTTP/1.1\r\nX: {}\r\n\r\n", "a".repeat(2_000));
     assert!(matches!(http::request_within(fits.as_bytes(), 4_000, 0), Ok(Some(_))));
--- a/crates/data/load-balancing/src/retry_budget.rs
+++ b/crates/data/load-balancing/src/retry_budget.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether one more retry is in the budget; if so it is spent. `slack` is this gateway's share of the slack of all.
-    pub fn try_retry(&mut self, now: Timestamp, service: &Rc<str>, slack: f64) -> bool {
+    pub fn take_retry(&mut self, now: Timestamp, service: &Rc<str>, slack: f64) -> bool {
         let ratio = self.ratio;
         let window = self.window(now, service);
         let requests: u32 = window.requests.iter().sum();
--- a/crates/data/load-balancing/src/server_state.rs
+++ b/crates/data/load-balancing/src/server_state.rs
@@ -14,7 +14,7 @@
 /// Failures in a row that are counted.
 const MAX_FAILURES: u32 = 16;
 /// A server that said that it is full gets nothing for so long.
-const FULL_PAUSE: Micros = 60_000;
+const FULL_BACKOFF: Micros = 60_000;
 /// Without a response for so long, and for [`STUCK_LATENCY_FACTOR`] times its latency, a server with requests outstanding is stuck.
 pub(crate) const STUCK_AFTER: Micros = 700_000;
 /// See [`STUCK_AFTER`].
@@ -93,7 +93,7 @@
                 self.mean_latency = if is_first { latency } else { self.mean_latency + change };
                 (self.failures, self.ejected_until, self.silent_since) = (0, 0, now);
             }
-            Outcome::Full => (self.full_until, self.silent_since) = (now + FULL_PAUSE, now),
+            Outcome::Full => (self.full_until, self.silent_since) = (now + FULL_BACKOFF, now),
             Outcome::Broken | Outcome::Moved => {
                 self.silent_since = now;
                 self.count_failure();
--- a/crates/data/load-balancing/tests/selector.rs
+++ b/crates/data/load-balancing/tests/selector.rs
@@ -112,7 +112,7 @@
             tries.count_request(now, &service);
             firsts.push(t);
         }
-        if tries.try_retry(now, &service, slack) {
+        if tries.take_retry(now, &service, slack) {
             more.push(t);
         }
     }
--- a/crates/data/quota/src/counter.rs
+++ b/crates/data/quota/src/counter.rs
@@ -235,14 +235,14 @@
         let reserved = unreported.saturating_mul(max_share).min(budget);
         let peaks = usage.sum_of_others(gateway, |share| share.peak);
         let blocks = usage.sum_of_others(gateway, |share| share.units);
-        let room = Room {
+        let headroom = Headroom {
             budget,
             even_share: (budget / gateways).max(1),
             max_share,
             later: budget.saturating_sub(blocks + reserved),
             now: budget.saturating_sub(peaks + usage.extra + reserved),
         };
-        let mut units = room.units_for(request);
+        let mut units = headroom.units_for(request);
         if usage.shares.len() >= MAX_SHARES && request.held == 0 {
             units = 0;
         }
@@ -276,8 +276,8 @@
     }
 }
 
-/// What a budget has room for, beside what other gateways have.
-struct Room {
+/// What a budget has headroom for, beside what other gateways have.
+struct Headroom {
     budget: u32,
     even_share: u32,
     max_share: u32,
@@ -287,13 +287,13 @@
     now: u32,
 }
 
-impl Room {
+impl Headroom {
     /// Units of each window for a request. An even share is there for the asking; more only out of what is not reserved, or the first
     /// to ask would have it all.
     fn units_for(&self, request: &TenantRequest) -> u32 {
         let free = self.later.min(self.now).min(self.max_share);
         let reserve = RESERVE * f64::from(self.budget);
         let spare = (f64::from(self.later) - reserve).max(0.0) as u32;
-        request.needed.min(self.even_share).max(request.wanted.min(spare)).min(free)
+        request.needed.min(self.even_share).max(request.desired.min(spare)).min(free)
     }
 }
--- a/crates/data/quota/src/escrow.rs
+++ b/crates/data/quota/src/escrow.rs
@@ -72,7 +72,7 @@
     was_lowered: bool,
     /// The window in which the counter had nothing left.
     exhausted: Option<u64>,
-    /// What was requested as `wanted` last: another figure is worth a request.
+    /// What was requested as `desired` last: another figure is worth a request.
     last_wanted: u32,
     /// Client requests that wait for a unit.
     waiting: u32,
@@ -141,13 +141,13 @@
             false => SPREAD,
         };
         let margin = spread * (BURST_SIZE * expected).sqrt() + spread.min(1.5);
-        let (mut needed, mut wanted) = (expected.floor() as u32, (expected + margin).floor() as u32);
+        let (mut needed, mut desired) = (expected.floor() as u32, (expected + margin).floor() as u32);
         let is_quiet = self.idle_windows > QUIET_WINDOWS || self.expires <= now && self.idle_windows > 0;
         if self.demand == 0 && is_quiet {
-            (needed, wanted) = (0, 0);
+            (needed, desired) = (0, 0);
         }
-        let (tenant, wanted, extra) = (tenant.to_owned(), wanted.max(needed), self.waiting);
-        TenantRequest { tenant, needed, wanted, extra, held: 0 }
+        let (tenant, desired, extra) = (tenant.to_owned(), desired.max(needed), self.waiting);
+        TenantRequest { tenant, needed, desired, extra, held: 0 }
     }
 
     fn has_pending(&self, now: Timestamp) -> bool {
@@ -174,27 +174,27 @@
         if !self.is_due(now, &request) {
             return None;
         }
-        self.units = self.units.min(request.wanted);
+        self.units = self.units.min(request.desired);
         // What it has had of the present window may be of one that begins only now at the counter.
         let had = self.spent.saturating_sub(self.extra);
         request.held = if self.expires > now { self.units.max(had) } else { 0 };
         self.pending = Some(PendingRequest { number, sent: now });
-        (self.last_wanted, self.was_lowered) = (request.wanted, false);
+        (self.last_wanted, self.was_lowered) = (request.desired, false);
         Some(request)
     }
 
     fn is_due(&self, now: Timestamp, request: &TenantRequest) -> bool {
-        let renew = self.expires.saturating_sub(now) < RENEW_BEFORE && request.wanted > 0;
-        let (wanted, last) = (f64::from(request.wanted), f64::from(self.last_wanted));
+        let renew = self.expires.saturating_sub(now) < RENEW_BEFORE && request.desired > 0;
+        let (desired, last) = (f64::from(request.desired), f64::from(self.last_wanted));
         // What is too much is missing elsewhere, and is given back sooner than more is requested.
-        let changed = wanted > 1.25 * last + 1.0 || wanted < 0.85 * last - 0.5;
-        let release = request.wanted == 0 && self.units > 0;
+        let changed = desired > 1.25 * last + 1.0 || desired < 0.85 * last - 0.5;
+        let release = request.desired == 0 && self.units > 0;
         self.waiting > 0 || renew || changed || release || self.was_lowered
     }
 
     /// Another counter has other windows. The one under way here goes on until the last counter's window would have ended: windows never
     /// begin closer to each other than their length.
-    fn switch_counter(
+    fn change_counter(
         &mut self,
         now: Timestamp,
         counter: CounterIncarnation,
@@ -411,7 +411,7 @@
         escrow.pending = None;
         if escrow.counter != phase.counter {
             let previous = self.clocks.get(&escrow.counter).copied();
-            escrow.switch_counter(now, phase.counter, previous, clock);
+            escrow.change_counter(now, phase.counter, previous, clock);
         }
         escrow.roll(clock.window(now));
         escrow.was_lowered = grant.units < request.held;
--- a/crates/data/quota/src/lease_client.rs
+++ b/crates/data/quota/src/lease_client.rs
@@ -11,7 +11,7 @@
 //! whatever counters answer. Another holder ends the backoff. Waiting client requests get their units in the order in which they
 //! came, when there are some; no answer wakes them otherwise.
 //!
-//! Events with the time go in; requests to be sent and client requests that are settled come out.
+//! Events with the time go in; requests to be sent and client requests that are resolved come out.
 
 use crate::escrow::{Escrow, UnitResult};
 use crate::shard_link::{use_grants, ShardLink};
@@ -64,7 +64,7 @@
 
 /// What has become of a waiting client request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SettledWaiter {
+pub struct ResolvedWaiter {
     /// The request.
     pub id: WaiterId,
     /// It has its unit, or has none until so much later.
@@ -211,7 +211,7 @@
         now: Timestamp,
         holders: &[Option<Holder>],
         near: bool,
-    ) -> (Vec<OutgoingRequest>, Vec<SettledWaiter>) {
+    ) -> (Vec<OutgoingRequest>, Vec<ResolvedWaiter>) {
         self.links.resize_with(holders.len().min(MAX_SHARDS), ShardLink::default);
         self.links.iter_mut().zip(holders).for_each(|(link, holder)| link.set_holder(now, *holder));
         let is_sweep = self.last_sweep.is_none_or(|at| now >= at + SWEEP_INTERVAL);
@@ -219,10 +219,10 @@
         if !is_sweep && self.waiting.is_empty() && !self.links.iter().any(must_report) {
             return Default::default();
         }
-        let settled = self.settle(now, None);
+        let resolved = self.resolve_waiters(now, None);
         let may_send: Vec<bool> = self.links.iter().map(|link| link.may_send(now)).collect();
         if !is_sweep && !may_send.contains(&true) {
-            return (Vec::new(), settled);
+            return (Vec::new(), resolved);
         }
         let requests = self.due_requests(now, near, is_sweep, &may_send);
         let outgoing = self.outgoing_requests(now, requests);
@@ -231,7 +231,7 @@
             let counters: Vec<_> = self.links.iter().map(|link| link.counter).collect();
             self.escrow.expire(now, &counters);
         }
-        (outgoing, settled)
+        (outgoing, resolved)
     }
 
     /// The requests that are due, by shard: for all tenants in a sweep, else for those that clients wait for.
@@ -282,8 +282,8 @@
             |shard: usize| self.waiting.keys().any(|tenant| self.escrow.shard(tenant) == Some(shard));
         let due = |(shard, link): (usize, &ShardLink)| {
             let at = link.pacer.next_send();
-            let wanted = !link.blocks_reported || has_waiters(shard);
-            (at > now && link.holder.is_some() && wanted).then_some(at)
+            let desired = !link.blocks_reported || has_waiters(shard);
+            (at > now && link.holder.is_some() && desired).then_some(at)
         };
         let sweep = self.last_sweep.map_or(now, |at| at + SWEEP_INTERVAL);
         let deadlines = self.waiting.values().filter_map(|queue| queue.front().map(|w| w.deadline));
@@ -297,7 +297,7 @@
         now: Timestamp,
         outgoing: &OutgoingRequest,
         outcome: &RequestOutcome,
-    ) -> Vec<SettledWaiter> {
+    ) -> Vec<ResolvedWaiter> {
         let mut touched = Vec::new();
         for request in &outgoing.requests {
             if request.shard >= self.links.len() {
@@ -310,7 +310,7 @@
                 self.note_failure(now, request.shard, reason);
             }
         }
-        self.settle(now, Some(&touched))
+        self.resolve_waiters(now, Some(&touched))
     }
 
     fn use_outcome(
@@ -357,36 +357,36 @@
     }
 
     /// Gives waiting requests of these tenants, or of all, the units that are there, and ends those for which none will come soon.
-    fn settle(&mut self, now: Timestamp, tenants: Option<&[String]>) -> Vec<SettledWaiter> {
-        let mut settled = Vec::new();
+    fn resolve_waiters(&mut self, now: Timestamp, tenants: Option<&[String]>) -> Vec<ResolvedWaiter> {
+        let mut resolved = Vec::new();
         let mut waiting = std::mem::take(&mut self.waiting);
         match tenants {
             None => {
                 for (tenant, queue) in &mut waiting {
-                    self.settle_tenant(now, tenant, queue, &mut settled);
+                    self.resolve_tenant_waiters(now, tenant, queue, &mut resolved);
                 }
             }
             Some(tenants) => {
                 for tenant in tenants {
                     if let Some(queue) = waiting.get_mut(tenant) {
-                        self.settle_tenant(now, tenant, queue, &mut settled);
+                        self.resolve_tenant_waiters(now, tenant, queue, &mut resolved);
                     }
                 }
             }
         }
-        if !settled.is_empty() {
+        if !resolved.is_empty() {
             waiting.retain(|_, queue| !queue.is_empty());
         }
         self.waiting = waiting;
-        settled
+        resolved
     }
 
-    fn settle_tenant(
+    fn resolve_tenant_waiters(
         &mut self,
         now: Timestamp,
         tenant: &str,
         queue: &mut VecDeque<Waiter>,
-        settled: &mut Vec<SettledWaiter>,
+        resolved: &mut Vec<ResolvedWaiter>,
     ) {
         let link = self.escrow.shard(tenant).and_then(|shard| self.links.get(shard));
         let unavailable_for = link.and_then(|link| link.pacer.unavailable_for(now));
@@ -403,7 +403,7 @@
                 UnitResult::Wait => break,
             };
             self.waiter_tenants.remove(&waiter.id);
-            settled.push(SettledWaiter { id: waiter.id, result });
+            resolved.push(ResolvedWaiter { id: waiter.id, result });
             queue.pop_front();
         }
     }
--- a/crates/data/quota/src/messages.rs
+++ b/crates/data/quota/src/messages.rs
@@ -20,7 +20,7 @@
     pub needed: u32,
     /// Units for each window that would be good to have.
     #[serde(rename = "w")]
-    pub wanted: u32,
+    pub desired: u32,
     /// Units for the present window alone.
     #[serde(rename = "e")]
     pub extra: u32,
--- a/crates/data/quota/tests/bound.rs
+++ b/crates/data/quota/tests/bound.rs
@@ -3,7 +3,7 @@
 
 use limeway_quota::counter::Counter;
 use limeway_quota::escrow::UnitResult;
-use limeway_quota::lease_client::{LeaseClient, OutgoingRequest, RequestOutcome, SettledWaiter};
+use limeway_quota::lease_client::{LeaseClient, OutgoingRequest, RequestOutcome, ResolvedWaiter};
 use limeway_quota::{Holder, Micros, QuotaRule, WindowBudget, BLOCK_LIFETIME};
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -65,8 +65,8 @@
 }
 
 /// Requests that have their units.
-fn units(settled: &[SettledWaiter]) -> usize {
-    settled.iter().filter(|settled| settled.result.is_ok()).count()
+fn units(resolved: &[ResolvedWaiter]) -> usize {
+    resolved.iter().filter(|resolved| resolved.result.is_ok()).count()
 }
 
 /// Plays a minute of one tenant at some multiple of its rate. The most that any span of the rule's window let in, and the
@@ -88,7 +88,7 @@
     let mut asks: Vec<Way<OutgoingRequest>> = Vec::new();
     let mut answers: Vec<Way<(OutgoingRequest, RequestOutcome)>> = Vec::new();
     let mut passed: Vec<Micros> = Vec::new();
-    let (mut wanted, mut calm, mut cut_until, mut deaf_until) = (0u32, 0, 0, 0);
+    let (mut desired, mut calm, mut cut_until, mut deaf_until) = (0u32, 0, 0, 0);
     let end = now + 60_000_000;
     let gap = (1e6 / (rate * load)) as u64;
     let mut next = now;
@@ -131,7 +131,7 @@
         };
         while next <= now {
             next += gap / 2 + chance.below(gap.max(1));
-            wanted += 1;
+            desired += 1;
             let at = chance.below(DOORS as u64) as usize;
             let door = &mut all[at];
             match door.desk.take(now + door.offset, "t", 0, view(at), span) {
@@ -143,8 +143,8 @@
             }
         }
         for (at, door) in all.iter_mut().enumerate() {
-            let (errands, settled) = door.desk.poll(now + door.offset, &[view(at)], at == 0);
-            passed.extend(std::iter::repeat_n(now, units(&settled)));
+            let (errands, resolved) = door.desk.poll(now + door.offset, &[view(at)], at == 0);
+            passed.extend(std::iter::repeat_n(now, units(&resolved)));
             for errand in errands {
                 let lost = chance.below(20) == 0 || at < 2 && now < cut_until;
                 let late = if day.late && chance.below(10) == 0 { chance.below(3_000_000) } else { 0 };
@@ -176,8 +176,8 @@
             let door = &mut all[at];
             // What was asked by a process that has ended has nobody to go to. A call ends once.
             if door.life == life && now + door.offset <= errand.sent + 322_000 {
-                let settled = door.desk.handle_outcome(now + door.offset, &errand, &outcome);
-                passed.extend(std::iter::repeat_n(now, units(&settled)));
+                let resolved = door.desk.handle_outcome(now + door.offset, &errand, &outcome);
+                passed.extend(std::iter::repeat_n(now, units(&resolved)));
             }
         }
     }
@@ -189,7 +189,7 @@
         }
         most = most.max((to - from + 1) as u32);
     }
-    (most, passed.len() as f64 / f64::from(wanted.max(1)))
+    (most, passed.len() as f64 / f64::from(desired.max(1)))
 }
 
 fn allowed(rate: f64) -> u32 {
--- a/crates/data/quota/tests/counter.rs
+++ b/crates/data/quota/tests/counter.rs
@@ -22,7 +22,7 @@
 }
 
 fn request(life: u64, number: u64, want: u32, held: u32, holds: Option<u32>) -> QuotaRequest {
-    let ask = TenantRequest { tenant: "t".into(), needed: want, wanted: want, extra: 0, held };
+    let ask = TenantRequest { tenant: "t".into(), needed: want, desired: want, extra: 0, held };
     let block = |units| LeasedBlock { tenant: "t".into(), units, spent: 0, remaining: BLOCK_LIFETIME };
     let holds = holds.map(|units| vec![block(units)]);
     QuotaRequest {
--- a/crates/data/quota/tests/lease_client.rs
+++ b/crates/data/quota/tests/lease_client.rs
@@ -185,8 +185,8 @@
                     _ => {}
                 }
             }
-            let (errands, settled) = desk.poll(now, &[Some(holder)], n == 0);
-            if now >= heal && settled.iter().any(|settled| settled.result.is_ok()) {
+            let (errands, resolved) = desk.poll(now, &[Some(holder)], n == 0);
+            if now >= heal && resolved.iter().any(|resolved| resolved.result.is_ok()) {
                 leased[n as usize].get_or_insert(now - heal);
             }
             let far = if is_cut { 1_000 } else { 1_000 + 20_000 * Micros::from(n) };
@@ -202,8 +202,8 @@
                 }
                 _ => (cut.outcome)(),
             };
-            let settled = desks[n as usize].handle_outcome(now, &errand, &outcome);
-            if now >= heal && settled.iter().any(|settled| settled.result.is_ok()) {
+            let resolved = desks[n as usize].handle_outcome(now, &errand, &outcome);
+            if now >= heal && resolved.iter().any(|resolved| resolved.result.is_ok()) {
                 leased[n as usize].get_or_insert(now - heal);
             }
         }
@@ -271,7 +271,7 @@
     let (mut desk, mut count) = (desk(5), count(3));
     let now = used(&mut desk, &mut count) + 4 * RULE.window_length();
     let ask = desk.poll(now, &[Some(A)], true).0[0].requests[0].tenants[0].clone();
-    assert_eq!((ask.wanted, ask.held), (0, 0));
+    assert_eq!((ask.desired, ask.held), (0, 0));
     assert_eq!(desk.take(now, "t", 0, Some(A), span()), UnitResult::Wait);
 }
 
@@ -285,7 +285,7 @@
     let had = taken.filter(|t| *t == UnitResult::Granted).count() as u32;
     let (errands, _) = desk.poll(now, &[Some(A)], true);
     let ask = &errands[0].requests[0].tenants[0];
-    assert!(ask.wanted > 0 && ask.wanted < had && ask.held >= had, "{had} had, {ask:?}");
+    assert!(ask.desired > 0 && ask.desired < had && ask.held >= had, "{had} had, {ask:?}");
 }
 
 #[rstest]
@@ -336,8 +336,8 @@
     desk.enqueue(now, "t", span());
     let mut units = 0;
     for _ in 0..3 {
-        let (errands, settled) = desk.poll(now, &[Some(A)], true);
-        units += settled.iter().filter(|settled| settled.result.is_ok()).count();
+        let (errands, resolved) = desk.poll(now, &[Some(A)], true);
+        units += resolved.iter().filter(|resolved| resolved.result.is_ok()).count();
         let asked = now;
         now += 310_000;
         for errand in errands {
@@ -345,7 +345,7 @@
             units += desk
                 .handle_outcome(now, &errand, &outcome)
                 .iter()
-                .filter(|settled| settled.result.is_ok())
+                .filter(|resolved| resolved.result.is_ok())
                 .count();
         }
     }
--- a/crates/data/rpc/src/body.rs
+++ b/crates/data/rpc/src/body.rs
@@ -17,7 +17,7 @@
 const MAX_EXPANSION: usize = 255;
 
 /// Whether compression saves a fifth at least.
-fn is_worth_it(compressed: usize, plain: usize) -> bool {
+fn saves_enough(compressed: usize, plain: usize) -> bool {
     compressed <= plain - plain / 5
 }
 
@@ -98,11 +98,11 @@
         return None;
     }
     let sample = lz4_flex::block::compress(&bytes[..SAMPLE_BYTES]);
-    if !is_worth_it(sample.len(), SAMPLE_BYTES) {
+    if !saves_enough(sample.len(), SAMPLE_BYTES) {
         return None;
     }
     let compressed = lz4_flex::block::compress(bytes);
-    is_worth_it(compressed.len(), bytes.len()).then_some(compressed)
+    saves_enough(compressed.len(), bytes.len()).then_some(compressed)
 }
 
 fn decompress(bytes: &[u8], length: usize) -> Option<Vec<u8>> {
--- a/crates/data/settings/src/lib.rs
+++ b/crates/data/settings/src/lib.rs
@@ -16,9 +16,9 @@
 /// The variable that holds the path of the settings file.
 pub const VARIABLE: &str = "LIMEWAY_BOOT";
 /// Longest settings file that is read, in bytes.
-pub const FILE_MOST: usize = 1024 * 1024;
+pub const MAX_FILE: usize = 1024 * 1024;
 /// Longest time that a setting may give: an hour, in microseconds.
-const TIME_MOST: f64 = 3_600e6;
+const MAX_TIME: f64 = 3_600e6;
 
 /// What is wrong with a settings file: the field and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     /// Requests beside it.
     pub cold_slack: f64,
     /// Longest `ttl` of a resolve answer that counts.
-    pub ttl_most: Micros,
+    pub max_ttl: Micros,
 }
 
 impl Default for Bounds {
@@ -95,7 +95,7 @@
             quota_slack: 0.0,
             cold_overshoot: 1.0,
             cold_slack: 0.0,
-            ttl_most: 2_000_000,
+            max_ttl: 2_000_000,
         }
     }
 }
@@ -148,7 +148,7 @@
         None => (text.strip_suffix('s')?, 1e6),
     };
     let micros = digits.parse::<f64>().ok()? * unit;
-    (0.0..=TIME_MOST).contains(&micros).then_some(micros as Micros)
+    (0.0..=MAX_TIME).contains(&micros).then_some(micros as Micros)
 }
 
 /// The fields of a file, by name.
@@ -156,7 +156,7 @@
 
 impl<'a> Fields<'a> {
     fn of(text: &'a str) -> Result<Self, Report<SettingsError>> {
-        if text.len() > FILE_MOST {
+        if text.len() > MAX_FILE {
             return Err(wrong("file", "longer than 1 MiB"));
         }
         let lines = text.lines().map(str::trim).filter(|l| !l.is_empty() && !l.starts_with('#'));
@@ -218,7 +218,7 @@
                 "quota-slack" => bounds.quota_slack = figure()?,
                 "cold-overshoot" => bounds.cold_overshoot = figure()?,
                 "cold-slack" => bounds.cold_slack = figure()?,
-                "ttl_max" => bounds.ttl_most = long()?,
+                "ttl_max" => bounds.max_ttl = long()?,
                 _ => {}
             }
         }
--- a/crates/gateway/counter-recovery/src/lib.rs
+++ b/crates/gateway/counter-recovery/src/lib.rs
@@ -42,7 +42,7 @@
 /// Weight of a new answer's time in the mean.
 const LEARN: f64 = 0.1;
 /// Names remembered at most: beyond it those whose windows end first go. Some 100 bytes each.
-pub const NAMES_MOST: usize = 100_000;
+pub const MAX_NAMES: usize = 100_000;
 /// Totals are exact to seven digits: this part of one may be missing without meaning anything.
 const ROUNDING: f64 = 1e-6;
 
@@ -586,7 +586,7 @@
             self.ends.remove(&(old.ends, name));
         }
         self.ends.insert((known.ends, name));
-        while self.names.len() > NAMES_MOST {
+        while self.names.len() > MAX_NAMES {
             let Some((_, first)) = self.ends.pop_first() else { return };
             self.names.remove(&first);
         }
--- a/crates/gateway/counter-recovery/src/standing.rs
+++ b/crates/gateway/counter-recovery/src/standing.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 
 /// Limiters that talk in trouble at most: each tells each other. Larger fleets go by presence alone.
-pub const TALK_MOST: u32 = 16;
+pub const MAX_TALK: u32 = 16;
 /// When words are sent after trouble was found, counted from the one before, until all have answered: few may be lost,
 /// and the last says so to those that were only just reached.
 const ROUNDS: [Micros; 5] = [0, 30_000, 60_000, 120_000, 240_000];
@@ -118,7 +118,7 @@
             all,
             longest,
             born: now,
-            talks: talks && all <= TALK_MOST,
+            talks: talks && all <= MAX_TALK,
             presence: Presence::new(me, all, now),
             heard: BTreeMap::new(),
             heir: None,
--- a/crates/gateway/counter-recovery/src/word.rs
+++ b/crates/gateway/counter-recovery/src/word.rs
@@ -16,7 +16,7 @@
 /// First byte of a word; others belong to other messages.
 pub const KIND: u8 = 4;
 /// Entries at most: 250 bytes in all.
-pub const ENTRIES_MOST: usize = 40;
+pub const MAX_ENTRIES: usize = 40;
 const HEAD: usize = 10;
 const ENTRY: usize = 6;
 
@@ -68,8 +68,8 @@
     /// Lists those of `all` who have used most, and states what the others stay below.
     pub fn list(&mut self, mut all: Vec<Entry>) {
         all.sort_unstable_by_key(|e| (std::cmp::Reverse(e.part), e.key, e.window));
-        self.floor = all.get(ENTRIES_MOST).map_or(0, |e| e.part);
-        all.truncate(ENTRIES_MOST);
+        self.floor = all.get(MAX_ENTRIES).map_or(0, |e| e.part);
+        all.truncate(MAX_ENTRIES);
         self.entries = all;
     }
 
@@ -81,7 +81,7 @@
             | u8::from(self.recent) << 3;
         let mut bytes = vec![KIND, flags, self.round, self.noted.unwrap_or(0), self.held, self.floor];
         bytes.extend(self.sent.to_le_bytes());
-        for entry in self.entries.iter().take(ENTRIES_MOST) {
+        for entry in self.entries.iter().take(MAX_ENTRIES) {
             bytes.extend(entry.key.to_le_bytes());
             bytes.extend([entry.window, entry.part]);
         }
@@ -92,7 +92,7 @@
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let (head, rest) = bytes.split_at_checked(HEAD)?;
         let [KIND, flags @ 0..=15, round, noted, held, floor, sent @ ..] = head else { return None };
-        if rest.len() % ENTRY != 0 || rest.len() / ENTRY > ENTRIES_MOST {
+        if rest.len() % ENTRY != 0 || rest.len() / ENTRY > MAX_ENTRIES {
             return None;
         }
         let entry =
--- a/crates/gateway/counter-recovery/tests/history.rs
+++ b/crates/gateway/counter-recovery/tests/history.rs
@@ -124,7 +124,7 @@
 #[test]
 fn what_is_remembered_is_bounded() {
     let mut r = fresh();
-    for name in 0..(NAMES_MOST as u64 + 500) {
+    for name in 0..(MAX_NAMES as u64 + 500) {
         r.answered(
             1,
             Count { name, of: 0, window: 0, begins: 0, ends: 1_000_000 + name, budget: 100.0 },
@@ -133,7 +133,7 @@
             0.1,
         );
     }
-    assert_eq!(r.names(), NAMES_MOST);
+    assert_eq!(r.names(), MAX_NAMES);
     r.forget(u64::MAX);
     assert_eq!(r.names(), 0);
 }
--- a/crates/gateway/counter-recovery/tests/standing.rs
+++ b/crates/gateway/counter-recovery/tests/standing.rs
@@ -2,7 +2,7 @@
 
 use limeway_counter_recovery::presence::{Presence, SLOT};
 use limeway_counter_recovery::standing::{Doors, Standing, Use};
-use limeway_counter_recovery::word::{part, Entry, Word, ENTRIES_MOST};
+use limeway_counter_recovery::word::{part, Entry, Word, MAX_ENTRIES};
 use limeway_counter_recovery::{Answer, Micros};
 use proptest::prelude::*;
 
@@ -109,7 +109,7 @@
         prop_assert!(entries.iter().filter(|e| !listed(e)).all(|e| e.part <= word.floor));
         if let Some(read) = Word::decode(&bytes) {
             prop_assert_eq!(read.encode(), bytes);
-            prop_assert!(read.entries.len() <= ENTRIES_MOST);
+            prop_assert!(read.entries.len() <= MAX_ENTRIES);
         }
     }
 
--- a/crates/gateway/gateway/src/clients.rs
+++ b/crates/gateway/gateway/src/clients.rs
@@ -18,12 +18,12 @@
 use tokio::time::{sleep, timeout};
 
 /// Time for which a connection may stand idle.
-const IDLE_MOST: Duration = Duration::from_secs(15);
+const MAX_IDLE: Duration = Duration::from_secs(15);
 /// Time from the start of a connection for its first request to come whole, and from its first byte on for each
 /// later one: who says nothing, or never comes to an end, is told so or closed within 3 s.
-const MESSAGE_MOST: Duration = Duration::from_millis(2_200);
+const MAX_MESSAGE: Duration = Duration::from_millis(2_200);
 /// Time for an answer to be taken.
-const ANSWER_MOST: Duration = Duration::from_secs(10);
+const MAX_ANSWER: Duration = Duration::from_secs(10);
 /// After an error, what is still on its way is read for so long, lest the answer be lost to a reset.
 const LINGER: Duration = Duration::from_millis(500);
 /// Longest wait for room when no connection can be accepted, and when accepting has failed.
@@ -40,7 +40,7 @@
 /// Longest wait that a client may state, in milliseconds.
 const DEADLINE_MOST_MS: u64 = 600_000;
 /// Longest id of a request, in bytes.
-const ID_MOST: usize = 128;
+const MAX_ID: usize = 128;
 /// Largest buffer that an idle connection keeps, in bytes.
 const BUFFER_KEPT: usize = 4 * 1024;
 /// Headers of a request that go on to servers, beside its length and the time that is left.
@@ -279,7 +279,7 @@
         if self.buffer.is_empty() && !self.first_bytes(clients).await {
             return Ok(None);
         }
-        let left = if self.fresh { MESSAGE_MOST.saturating_sub(self.since.elapsed()) } else { MESSAGE_MOST };
+        let left = if self.fresh { MAX_MESSAGE.saturating_sub(self.since.elapsed()) } else { MAX_MESSAGE };
         timeout(left, self.read_message())
             .await
             .unwrap_or(Err(Reject(408, "the request did not come whole in time\n")))
@@ -295,7 +295,7 @@
             self.out = Vec::new();
         }
         let place = Place::take(clients, !self.fresh);
-        let idle = if self.fresh { MESSAGE_MOST.saturating_sub(self.since.elapsed()) } else { IDLE_MOST };
+        let idle = if self.fresh { MAX_MESSAGE.saturating_sub(self.since.elapsed()) } else { MAX_IDLE };
         let idle = sleep(idle);
         tokio::pin!(idle);
         let go = if self.fresh { Closing::All } else { Closing::Used };
@@ -326,7 +326,7 @@
             }
         };
         let bytes = self.buffer.split_to(head.len);
-        let mut body = Body::lenient(head.framing, http::BODY_MOST);
+        let mut body = Body::lenient(head.framing, http::MAX_BODY);
         while !body.take(&mut self.buffer).map_err(reject)? {
             if !self.more().await {
                 return Ok(None);
@@ -353,7 +353,7 @@
             return self.answer(409, b"", close, b"a request with this Req-Id is open\n").await;
         };
         let answer = loop {
-            let room = self.buffer.len() < http::HEAD_MOST + http::BODY_MOST;
+            let room = self.buffer.len() < http::MAX_HEAD + http::MAX_BODY;
             tokio::select! {
                 biased;
                 answer = &mut answer => break answer.unwrap_or(Answer::Failed),
@@ -383,7 +383,7 @@
     async fn answer(&mut self, status: u16, headers: &[u8], close: bool, body: &[u8]) -> bool {
         self.out.clear();
         http::write_answer(&mut self.out, status, headers, close, body);
-        let written = timeout(ANSWER_MOST, self.stream.write_all(&self.out)).await;
+        let written = timeout(MAX_ANSWER, self.stream.write_all(&self.out)).await;
         matches!(written, Ok(Ok(()))) && !close
     }
 
@@ -391,7 +391,7 @@
         let _ = self.stream.shutdown().await;
         let rest = async {
             let mut read = 0;
-            while read < 4 * http::BODY_MOST {
+            while read < 4 * http::MAX_BODY {
                 self.buffer.clear();
                 match self.stream.read_buf(&mut self.buffer).await {
                     Ok(n @ 1..) => read += n,
@@ -452,7 +452,7 @@
     if effect == Effect::Keyed && key.is_none_or(<[u8]>::is_empty) {
         return Err(Reject(400, "Idempotency-Key is missing\n"));
     }
-    let id = header("req-id")?.filter(|id| (1..=ID_MOST).contains(&id.len()));
+    let id = header("req-id")?.filter(|id| (1..=MAX_ID).contains(&id.len()));
     let id = id.ok_or(Reject(400, "Req-Id is missing or too long\n"))?;
     let plan = text(header("plan")?).and_then(|plan| setup.plans.iter().position(|p| p == plan));
     let plan = plan.ok_or(Reject(400, "Plan is missing or unknown\n"))?;
--- a/crates/gateway/gateway/src/config.rs
+++ b/crates/gateway/gateway/src/config.rs
@@ -119,14 +119,14 @@
     // One byte beyond what may be: guards against reading a file without end.
     let mut text = String::new();
     let file = std::fs::File::open(path).map_err(|e| bad(&e))?;
-    file.take(limeway_operator_config::BYTES_MOST as u64 + 1)
+    file.take(limeway_operator_config::MAX_BYTES as u64 + 1)
         .read_to_string(&mut text)
         .map_err(|e| bad(&e))?;
     Operator::read(&text).map_err(|e| bad(&e))
 }
 
 /// Least number of descriptors with which the limiter can work at all.
-const SOCKETS_LEAST: usize = 64;
+const MIN_SOCKETS: usize = 64;
 
 impl Config {
     /// Reads the environment and the file that it names.
@@ -158,8 +158,8 @@
         let seed = file.seed.ok_or_else(|| ConfigError::new("seed", "is missing"))?;
         let seed = u64::from_str_radix(&seed, 16)
             .map_err(|_| ConfigError::new("seed", "is no hexadecimal number"))?;
-        if file.limits.sockets < SOCKETS_LEAST {
-            return Err(ConfigError::new("limits.sockets", format!("is below {SOCKETS_LEAST}")));
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigError::new("limits.sockets", format!("is below {MIN_SOCKETS}")));
         }
         let settings = file.settings.ok_or_else(|| ConfigError::new("settings", "is missing"))?;
         let setup =
--- a/crates/gateway/gateway/src/counter.rs
+++ b/crates/gateway/gateway/src/counter.rs
@@ -11,10 +11,10 @@
 
 /// Connections at most: the counter resets those beyond 32, and after a cut still holds as many that were
 /// given up here without its hearing of it.
-pub const CONNECTIONS_MOST: usize = 24;
+pub const MAX_CONNECTIONS: usize = 24;
 /// Time for which an idle connection is kept: the counter closes one after some 10 s or less, and a call that
 /// crosses this may or may not have been added.
-const IDLE_MOST: Duration = Duration::from_secs(3);
+const MAX_IDLE: Duration = Duration::from_secs(3);
 
 /// What came of a call.
 #[derive(Debug, Clone, Copy)]
@@ -70,7 +70,7 @@
     fn take(&self) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         while let Some(conn) = idle.pop() {
-            if conn.idle() < IDLE_MOST && conn.quiet() {
+            if conn.idle() < MAX_IDLE && conn.quiet() {
                 return Some(conn);
             }
         }
@@ -82,7 +82,7 @@
         let mut conn = match self.take() {
             Some(conn) => conn,
             // Nothing was added where no connection may be opened.
-            None if count.get() >= CONNECTIONS_MOST => return (Status::Full, 0.0),
+            None if count.get() >= MAX_CONNECTIONS => return (Status::Full, 0.0),
             None => match Conn::open(address, &count).await {
                 Ok(conn) => conn,
                 Err(_) => return (Status::ConnectFailed, 0.0),
@@ -122,6 +122,6 @@
 
     /// Lets go of connections that have stood idle too long or were closed from the other side.
     pub fn prune(&self) {
-        self.idle.borrow_mut().retain(|conn| conn.idle() < IDLE_MOST && conn.quiet());
+        self.idle.borrow_mut().retain(|conn| conn.idle() < MAX_IDLE && conn.quiet());
     }
 }
--- a/crates/gateway/gateway/src/discovery.rs
+++ b/crates/gateway/gateway/src/discovery.rs
@@ -18,7 +18,7 @@
 /// Time beyond that after which discovery is held to be silent.
 const GRACE: Duration = Duration::from_millis(1_500);
 /// Time for a call that has nothing to wait for.
-const CALL_MOST: Duration = Duration::from_millis(1_500);
+const MAX_CALL: Duration = Duration::from_millis(1_500);
 /// Wait after a failed call: at first, and at most after doubling.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
@@ -127,13 +127,13 @@
                 format!("/catalog/members?from={seq}&hold_ms={HOLD_MS}"),
                 Duration::from_millis(HOLD_MS) + GRACE,
             ),
-            None => ("/catalog/members".to_owned(), CALL_MOST),
+            None => ("/catalog/members".to_owned(), MAX_CALL),
         };
         let message = format!("GET {target} HTTP/1.1\r\nHost: discovery\r\n\r\n");
         let exchange = async {
             let mut open = match conn.take().filter(Conn::quiet) {
                 Some(open) => open,
-                None => timeout(CALL_MOST, Conn::open(self.address.get(), &Rc::default())).await??,
+                None => timeout(MAX_CALL, Conn::open(self.address.get(), &Rc::default())).await??,
             };
             open.write(message.as_bytes(), &Cell::new(false)).await?;
             let Reply { head, body, keep, .. } = open.read().await.map_err(io::Error::other)?;
--- a/crates/gateway/gateway/src/peers.rs
+++ b/crates/gateway/gateway/src/peers.rs
@@ -6,7 +6,7 @@
 use tokio::net::UdpSocket;
 
 /// Longest datagram that may be sent, in bytes.
-const DATAGRAM_MOST: usize = 256;
+const MAX_DATAGRAM: usize = 256;
 
 /// The socket and the address of each limiter, by number.
 pub struct Peers {
@@ -23,7 +23,7 @@
 
     /// Sends a message; one that cannot go at once is lost, as any may be.
     pub fn tell(&self, peer: u32, data: &[u8]) {
-        if data.len() > DATAGRAM_MOST {
+        if data.len() > MAX_DATAGRAM {
             log::warn!("message of {} bytes to limiter {peer} is too long to send", data.len());
             return;
         }
@@ -37,7 +37,7 @@
     /// Takes in messages, for ever, and passes on each with its sender's number. One from an address that is no
     /// other limiter's, or that is too long, is dropped.
     pub async fn run(&self, tell: impl Fn(u32, Vec<u8>)) {
-        let mut data = [0; DATAGRAM_MOST + 1];
+        let mut data = [0; MAX_DATAGRAM + 1];
         loop {
             let (len, from) = match self.socket.recv_from(&mut data).await {
                 Ok(received) => received,
@@ -49,7 +49,7 @@
                 }
             };
             let number = self.addresses.iter().position(|a| *a == from);
-            if let Some(number) = number.filter(|n| *n != self.me && len <= DATAGRAM_MOST) {
+            if let Some(number) = number.filter(|n| *n != self.me && len <= MAX_DATAGRAM) {
                 tell(number as u32, data[..len].to_vec());
             }
         }
--- a/crates/gateway/gateway/src/servers.rs
+++ b/crates/gateway/gateway/src/servers.rs
@@ -20,7 +20,7 @@
 /// request is written, or it would be taken for that one's answer.
 const REST: Duration = Duration::from_millis(20);
 /// Zones at most.
-const ZONES_MOST: usize = 64;
+const MAX_ZONES: usize = 64;
 
 /// A client's request as it goes on to servers.
 #[derive(Debug)]
@@ -126,7 +126,7 @@
             }
             let zone = zones.iter().position(|z| *z == row.site).unwrap_or_else(|| {
                 // The settings name the zones; others are strange and share a number once there are many.
-                if zones.len() < ZONES_MOST {
+                if zones.len() < MAX_ZONES {
                     zones.push(row.site.clone());
                 }
                 zones.len() - 1
--- a/crates/gateway/gateway/src/service.rs
+++ b/crates/gateway/gateway/src/service.rs
@@ -17,12 +17,12 @@
 
 /// Descriptors set aside: standard streams, runtime and signals, listener, datagrams, discovery (8), those that
 /// are just closing (8), and the counter's.
-const SOCKETS_ASIDE: usize = 16 + counter::CONNECTIONS_MOST;
+const SOCKETS_ASIDE: usize = 16 + counter::MAX_CONNECTIONS;
 /// Connections to servers beyond the open requests: clients hold a third of all descriptors at most for requests,
 /// each of these has one attempt out, and the rest stands idle to be used again.
 const SERVERS_MORE: usize = 8;
 /// Discovery has so long to answer; then what was known must do.
-const READY_MOST: Duration = Duration::from_secs(2);
+const MAX_READY: Duration = Duration::from_secs(2);
 /// Time between two looks at idle connections.
 const PRUNE_EVERY: Duration = Duration::from_secs(1);
 /// A turn that comes later than this is a standstill of the process, or of the machine.
@@ -32,7 +32,7 @@
 /// The listener closes once so much time has passed without a new connection, and at the latest then.
 const LISTEN_ON: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(1_200));
 /// Time for what has been taken, in all.
-const FINISH_MOST: Duration = Duration::from_millis(9_000);
+const MAX_FINISH: Duration = Duration::from_millis(9_000);
 
 fn env(name: &str) -> Option<String> {
     std::env::var(name).ok()
@@ -95,7 +95,7 @@
     }
     accepting.abort();
     clients.close_idle(Closing::All);
-    while clients.open() > 0 && told.elapsed() < FINISH_MOST {
+    while clients.open() > 0 && told.elapsed() < MAX_FINISH {
         sleep(Duration::from_millis(5)).await;
     }
     log::info!("ended: {} requests are open", core.unanswered());
@@ -132,7 +132,7 @@
         if let Some(counter) = &core.links.counter {
             counter.prune();
         }
-        if start.elapsed() >= READY_MOST && core.config.known.as_ref().is_some_and(|k| !k.hosts.is_empty()) {
+        if start.elapsed() >= MAX_READY && core.config.known.as_ref().is_some_and(|k| !k.hosts.is_empty()) {
             core.be_ready();
         }
     }
--- a/crates/gateway/operator-config/src/error.rs
+++ b/crates/gateway/operator-config/src/error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// How like a known key must be to be suggested: seven letters in ten.
-const ALIKE_LEAST: f64 = 0.7;
+const MIN_ALIKE: f64 = 0.7;
 
 /// Why a file cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -88,7 +88,7 @@
         };
         let alike = |k: &&String| strsim::normalized_damerau_levenshtein(k, name);
         let nearest =
-            known.iter().max_by(|a, b| alike(a).total_cmp(&alike(b))).filter(|k| alike(k) >= ALIKE_LEAST);
+            known.iter().max_by(|a, b| alike(a).total_cmp(&alike(b))).filter(|k| alike(k) >= MIN_ALIKE);
         self.reason = match nearest {
             Some(nearest) => format!("{what}; did you mean `{nearest}`?"),
             None => format!("{what}; known here: {}", known.join(", ")),
--- a/crates/gateway/operator-config/src/lib.rs
+++ b/crates/gateway/operator-config/src/lib.rs
@@ -27,7 +27,7 @@
 /// The version of the file's form that is read here.
 pub const VERSION: u32 = 1;
 /// Bytes of a file at most: one that is larger is no settings file but a mistake, and is not parsed.
-pub const BYTES_MOST: usize = 1 << 20;
+pub const MAX_BYTES: usize = 1 << 20;
 
 /// All sections.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Deserialize)]
@@ -71,14 +71,14 @@
 /// Lines of a history where nothing is said: some megabytes, and days of a limiter in trouble each second.
 const LINES: u32 = 100_000;
 /// Lines that may be asked for.
-const LINES_MOST: u32 = 10_000_000;
+const MAX_LINES: u32 = 10_000_000;
 
 fn lines<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
     let lines = u32::deserialize(from)?;
-    if (1..=LINES_MOST).contains(&lines) {
+    if (1..=MAX_LINES).contains(&lines) {
         return Ok(lines);
     }
-    Err(D::Error::custom(format!("{lines} does not lie between 1 and {LINES_MOST}")))
+    Err(D::Error::custom(format!("{lines} does not lie between 1 and {MAX_LINES}")))
 }
 
 /// What a limiter spends of a quota while the counter does not answer, or has lost its numbers. All limiters of a site
@@ -101,8 +101,8 @@
     /// The first thing that is wrong: no TOML, a key that is not known, a value of the wrong kind or out of range, a
     /// version that is not [`VERSION`].
     pub fn read(text: &str) -> Result<Self, Error> {
-        if text.len() > BYTES_MOST {
-            return Err(Error::whole(format!("has {} bytes, and may have {BYTES_MOST}", text.len())));
+        if text.len() > MAX_BYTES {
+            return Err(Error::whole(format!("has {} bytes, and may have {MAX_BYTES}", text.len())));
         }
         let table = toml::Deserializer::parse(text).map_err(|e| Error::at(text, ".", &e))?;
         let read: Operator = serde_path_to_error::deserialize(table)
--- a/crates/gateway/operator-config/tests/files.rs
+++ b/crates/gateway/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
 //! A table of faulty files with what is said of each, and bytes that may not harm.
 
-use limeway_operator_config::{InTrouble, Operator, BYTES_MOST};
+use limeway_operator_config::{InTrouble, Operator, MAX_BYTES};
 use proptest::prelude::*;
 
 #[test]
@@ -45,7 +45,7 @@
         assert!(error.starts_with(said), "{text:?}: {error}");
         assert!(!error.contains('\n'), "one line: {error:?}");
     }
-    let large = "#".repeat(BYTES_MOST + 1);
+    let large = "#".repeat(MAX_BYTES + 1);
     assert!(Operator::read(&large).expect_err("too large").to_string().contains("bytes"));
 }
 
--- a/crates/gateway/quota-policy/src/rules.rs
+++ b/crates/gateway/quota-policy/src/rules.rs
@@ -24,9 +24,9 @@
 /// Gap between sweeps, in microseconds, that is a standstill of its own: far above a tick.
 const STALL: Micros = 200_000;
 /// Shortest window, in microseconds: below this, calls to the counter would outnumber requests.
-const WINDOW_LEAST: Micros = 500_000;
+const MIN_WINDOW: Micros = 500_000;
 /// Longest window, in microseconds: a count's name lives 60 s at most, and twice the window must fit.
-const WINDOW_MOST: Micros = 25_000_000;
+const MAX_WINDOW: Micros = 25_000_000;
 /// Time for which an idle customer is remembered, in microseconds: its store is full again by then.
 const REMEMBER: Micros = 50_000_000;
 /// Debts to a counter that lost its numbers that one sweep looks at: the pace of calls bounds them too.
@@ -46,7 +46,7 @@
 /// Requests out at a server from all gateways together, at first: a fleet driven too hard is slow to recover.
 const LIMIT_FIRST: f64 = 8.0;
 /// Share of the first limit below which a limit is never cut: slow answers at so little are not our queue.
-const LIMIT_LEAST: f64 = 0.5;
+const MIN_LIMIT: f64 = 0.5;
 /// Share of the aim that a server's mean latency may take before its limit falls: the tail is many times it.
 const BUSY: f64 = 0.2;
 /// Factor on a limit when it proves too much, at most.
--- a/crates/gateway/quota-policy/src/rules/escrow.rs
+++ b/crates/gateway/quota-policy/src/rules/escrow.rs
@@ -12,7 +12,7 @@
             let name = if mark.probe { probe_name(self.set.me, mark.slot) } else { presence_name(mark.slot) };
             // Beside the pace of calls: a few a second, without which less of each window could be leased.
             self.showing = Some(name);
-            out.push(Action::Count { name, amount: mark.amount, ttl: mark.ttl.min(WINDOW_MOST) });
+            out.push(Action::Count { name, amount: mark.amount, ttl: mark.ttl.min(MAX_WINDOW) });
         }
         out.extend(self.recovery.words(self.now).into_iter().map(|(peer, data)| Action::Tell { peer, data }));
     }
@@ -231,7 +231,7 @@
         customer.calling = true;
         self.counter.take();
         self.calls.insert(name, Call { customer: key, window, amount, owed, debt, asked: false });
-        let ttl = 2 * (end - self.now) + WINDOW_LEAST;
+        let ttl = 2 * (end - self.now) + MIN_WINDOW;
         out.push(Action::Count { name, amount, ttl });
     }
 
@@ -274,7 +274,7 @@
         if status == Status::Error && !call.asked {
             call.asked = true;
             self.calls.insert(name, call);
-            return out.push(Action::Count { name, amount: 0.0, ttl: WINDOW_MOST });
+            return out.push(Action::Count { name, amount: 0.0, ttl: MAX_WINDOW });
         }
         customer.calling = false;
         customer.lost = !ok;
@@ -362,8 +362,8 @@
     /// different times, so that the counter sees no rush.
     pub(super) fn keyed(p: &Plan, max_units: f64, key: u64) -> Self {
         let length = (p.burst.max(max_units) / p.rate.max(SECOND) / SECOND) as u64;
-        let span = p.ceiling().span(WINDOW_LEAST, WINDOW_MOST);
-        let length = span.map_or(length.clamp(WINDOW_LEAST, WINDOW_MOST), |s| s.length);
+        let span = p.ceiling().span(MIN_WINDOW, MAX_WINDOW);
+        let length = span.map_or(length.clamp(MIN_WINDOW, MAX_WINDOW), |s| s.length);
         let reach = p.within(length);
         let budget = span.map_or(f64::MAX, |s| s.budget).min(reach);
         Windows { length, phase: key % length, budget, reach }
--- a/crates/gateway/quota-policy/src/rules/servers.rs
+++ b/crates/gateway/quota-policy/src/rules/servers.rs
@@ -35,7 +35,7 @@
                 eject: EJECT.0,
                 answered: now,
                 limit: LIMIT_FIRST / gateways,
-                least: LIMIT_FIRST * LIMIT_LEAST / gateways,
+                least: LIMIT_FIRST * MIN_LIMIT / gateways,
                 busy: BUSY,
                 slow: 1.0,
                 ..Server::default()
--- a/crates/testing/checker/src/lib.rs
+++ b/crates/testing/checker/src/lib.rs
@@ -19,7 +19,7 @@
 
 /// Lateness of the kit's own sends, 99.9th percentile in microseconds, from which on a run is void: beyond it, what
 /// looks like a fault of a limiter may be the machine's.
-pub const LATE_MOST: u64 = 50_000;
+pub const MAX_LATE: u64 = 50_000;
 
 /// What is said of a run.
 #[derive(Debug, Clone, Serialize)]
@@ -82,7 +82,7 @@
     match &run.closing {
         None => Some(format!("the ledger is cut off after {:.3} s", run.end as f64 / 1e6)),
         Some(closing) if !closing.complete => Some("the run was broken off".into()),
-        Some(closing) if closing.late_p999_us > LATE_MOST => Some(format!(
+        Some(closing) if closing.late_p999_us > MAX_LATE => Some(format!(
             "the kit itself ran late: {:.1} ms at p99.9, {:.1} ms at most",
             closing.late_p999_us as f64 / 1e3,
             closing.late_max_us as f64 / 1e3
--- a/crates/testing/checker/src/run.rs
+++ b/crates/testing/checker/src/run.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Records of one ledger at most: what a run of some hours brings; beyond it memory would be the judge's limit.
-pub const RECORDS_MOST: usize = 50_000_000;
+pub const MAX_RECORDS: usize = 50_000_000;
 
 /// An attempt, as its node saw it.
 #[derive(Debug, Clone)]
@@ -178,8 +178,8 @@
         }
         let mut records = Vec::new();
         while let Some((at, line)) = lines.next() {
-            if records.len() >= RECORDS_MOST {
-                return Err(fault(at, format!("more than {RECORDS_MOST} records")));
+            if records.len() >= MAX_RECORDS {
+                return Err(fault(at, format!("more than {MAX_RECORDS} records")));
             }
             match serde_json::from_str::<Record>(line) {
                 Ok(record) => {
--- a/crates/testing/fault-injection/src/datagram.rs
+++ b/crates/testing/fault-injection/src/datagram.rs
@@ -12,9 +12,9 @@
 use tokio::task::JoinHandle;
 
 /// Longest datagram that is read whole.
-const DATAGRAM_MOST: usize = 2_048;
+const MAX_DATAGRAM: usize = 2_048;
 /// Datagrams of one way that are late on purpose at once, at most; further ones are lost.
-const LATE_MOST: usize = 4_096;
+const MAX_LATE: usize = 4_096;
 /// Rest after a socket error, which a member that is not there causes.
 const REST: Duration = Duration::from_millis(1);
 
@@ -117,14 +117,14 @@
     way: Way,
     deliver: Arc<impl Deliver>,
 ) {
-    let late = Arc::new(Semaphore::new(LATE_MOST));
-    let mut data = [0; DATAGRAM_MOST + 1];
+    let late = Arc::new(Semaphore::new(MAX_LATE));
+    let mut data = [0; MAX_DATAGRAM + 1];
     loop {
         let Ok((len, source)) = from.recv_from(&mut data).await else {
             tokio::time::sleep(REST).await;
             continue;
         };
-        if len > DATAGRAM_MOST || source != sender {
+        if len > MAX_DATAGRAM || source != sender {
             continue;
         }
         let now = Instant::now();
--- a/crates/testing/fault-injection/src/record.rs
+++ b/crates/testing/fault-injection/src/record.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 /// Events that are kept; later ones are counted only.
-const KEPT_MOST: usize = 100_000;
+const MAX_KEPT: usize = 100_000;
 
 /// What a fault did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -64,7 +64,7 @@
     pub(crate) fn add(&self, way: &Arc<str>, what: What) {
         let mut kept = lock(&self.0 .1);
         *kept.counts.entry((way.clone(), what)).or_default() += 1;
-        if kept.events.len() < KEPT_MOST {
+        if kept.events.len() < MAX_KEPT {
             kept.events.push(Fired { t: self.0 .0.elapsed(), way: way.clone(), what });
         }
         drop(kept);
--- a/crates/testing/fault-injection/src/stream.rs
+++ b/crates/testing/fault-injection/src/stream.rs
@@ -14,11 +14,11 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 /// Bytes of one direction of a connection that wait to be handed on, at most; beyond it its sender waits.
-const QUEUE_MOST: usize = 256 * 1_024;
+const MAX_QUEUE: usize = 256 * 1_024;
 /// Bytes that are read at once, at most.
-const READ_MOST: usize = 16 * 1_024;
+const MAX_READ: usize = 16 * 1_024;
 /// Connections of one link at once, at most; further ones wait to be accepted.
-const CONNECTIONS_MOST: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// A listener that could not be had, or could not accept, is tried again after this time.
@@ -190,7 +190,7 @@
 ) {
     loop {
         while connections.try_join_next().is_some() {}
-        while connections.len() >= CONNECTIONS_MOST {
+        while connections.len() >= MAX_CONNECTIONS {
             connections.join_next().await;
         }
         match listener.accept().await {
@@ -304,7 +304,7 @@
     let mut changes = way.watch();
     let mut queue: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let (mut queued, mut ended, mut spoilt, mut told) = (0, false, false, false);
-    let mut data = vec![0; READ_MOST];
+    let mut data = vec![0; MAX_READ];
     loop {
         let c = *changes.borrow_and_update();
         if spoilt && c.pass != Pass::Swallowed {
@@ -321,7 +321,7 @@
             return Ok(());
         }
         let due = queue.front().map(|q| q.0).filter(|_| c.pass == Pass::Through);
-        let room = !ended && queued < QUEUE_MOST;
+        let room = !ended && queued < MAX_QUEUE;
         tokio::select! {
             biased;
             () = told_to_end(&mut half) => {
--- a/crates/testing/gateway-simulation/src/shrink.rs
+++ b/crates/testing/gateway-simulation/src/shrink.rs
@@ -3,12 +3,12 @@
 use crate::Schedule;
 
 /// Plays at most, over all.
-const PLAYS_MOST: usize = 400;
+const MAX_PLAYS: usize = 400;
 
 /// The smallest schedule found that still fails.
 pub fn shrink(schedule: &Schedule, fails: impl Fn(&Schedule) -> bool) -> Schedule {
     let with = |faults: &[_]| Schedule { faults: faults.to_vec(), ..schedule.clone() };
-    let faults = shorten(&schedule.faults, PLAYS_MOST, |faults| fails(&with(faults)));
+    let faults = shorten(&schedule.faults, MAX_PLAYS, |faults| fails(&with(faults)));
     with(&faults)
 }
 
--- a/crates/testing/gateway-simulation/src/sim.rs
+++ b/crates/testing/gateway-simulation/src/sim.rs
@@ -18,15 +18,15 @@
 /// How long a client waits.
 const PATIENCE: Micros = 2 * SECOND;
 /// Units of the largest request.
-const UNITS_MOST: u32 = 2;
+const MAX_UNITS: u32 = 2;
 /// From one spell of a customer that asks in spells to the next.
 const SPELL: Micros = 4 * SECOND;
 /// Events of one day at most: beyond it the module runs in circles.
-const EVENTS_MOST: usize = 5_000_000;
+const MAX_EVENTS: usize = 5_000_000;
 /// The time at which a day begins: the module's clock is far from 0.
 const BEGIN: Micros = 1_000 * SECOND;
 /// Findings that are kept.
-const FINDINGS_MOST: usize = 20;
+const MAX_FINDINGS: usize = 20;
 
 struct Customer {
     name: String,
@@ -174,7 +174,7 @@
         ask: false,
         classes: vec![class(Effect::Safe, 0), class(Effect::Keyed, 8 * SECOND)],
         plans: plans(ceiling),
-        max_units: f64::from(UNITS_MOST),
+        max_units: f64::from(MAX_UNITS),
         permissions: Permissions {
             cancel: true,
             second_copies: false,
@@ -281,7 +281,7 @@
     }
 
     fn find(&mut self, what: String) {
-        if self.played.findings.len() < FINDINGS_MOST {
+        if self.played.findings.len() < MAX_FINDINGS {
             self.played.findings.push(Finding { t: self.now - BEGIN, what });
         }
     }
@@ -294,8 +294,8 @@
                 break;
             }
             events += 1;
-            if events > EVENTS_MOST {
-                self.find(format!("more than {EVENTS_MOST} events"));
+            if events > MAX_EVENTS {
+                self.find(format!("more than {MAX_EVENTS} events"));
                 break;
             }
             self.now = at;
@@ -350,7 +350,7 @@
 
     fn arrive(&mut self, at: usize) {
         self.arrive_next(at);
-        let units = f64::from(self.rng.random_range(1..=UNITS_MOST));
+        let units = f64::from(self.rng.random_range(1..=MAX_UNITS));
         let (chance, other): (f64, u32) = (self.rng.random(), self.rng.random());
         let gateways = self.day.gateways;
         let c = &mut self.customers[at];
@@ -460,7 +460,7 @@
                     over,
                 });
             }
-            f.overshoot = f.overshoot.max((over - doors * f64::from(UNITS_MOST)) / budget);
+            f.overshoot = f.overshoot.max((over - doors * f64::from(MAX_UNITS)) / budget);
             f.ceiling = f.ceiling.max(nearest);
             if passed {
                 let name = self.customers[customer].name.clone();
@@ -580,7 +580,7 @@
     let p = &settings.plans[plan];
     let name = format!("{:016x}", rng.random::<u64>() >> 31);
     let windows = Windows::of(p, settings.max_units, &name, plan);
-    let mean = f64::from(1 + UNITS_MOST) / 2.0;
+    let mean = f64::from(1 + MAX_UNITS) / 2.0;
     let group = 2 - number % 3;
     let times = match group {
         BEYOND => rng.random_range(2.0..6.0),
@@ -589,7 +589,7 @@
     };
     let ceiling = if p.ceiling_rate > 0.0 {
         // As the site words it: a tenth of the burst or the largest request, and what 150 ms bring.
-        let slack = (0.1 * p.ceiling_burst).max(f64::from(UNITS_MOST)) + 0.15 * p.ceiling_rate;
+        let slack = (0.1 * p.ceiling_burst).max(f64::from(MAX_UNITS)) + 0.15 * p.ceiling_rate;
         (p.ceiling_rate, p.ceiling_burst, slack)
     } else {
         (0.0, 0.0, 0.0)
--- a/crates/testing/load-generator/src/arrivals.rs
+++ b/crates/testing/load-generator/src/arrivals.rs
@@ -5,12 +5,12 @@
 
 /// Numbers by chance, the same for a seed.
 #[derive(Debug, Clone)]
-pub struct Chance(u64);
+pub struct Rng(u64);
 
-impl Chance {
+impl Rng {
     /// From a seed.
     pub fn new(seed: u64) -> Self {
-        Chance(seed)
+        Rng(seed)
     }
 
     /// The next number.
@@ -78,14 +78,14 @@
 pub struct Arrivals {
     rate: f64,
     shape: Shape,
-    chance: Chance,
+    chance: Rng,
     now: f64,
 }
 
 impl Arrivals {
     /// So many a second in the mean.
     pub fn new(rate: f64, shape: Shape, seed: u64) -> Self {
-        Arrivals { rate: rate.max(1e-3), shape, chance: Chance::new(seed), now: 0.0 }
+        Arrivals { rate: rate.max(1e-3), shape, chance: Rng::new(seed), now: 0.0 }
     }
 }
 
--- a/crates/testing/load-generator/src/client.rs
+++ b/crates/testing/load-generator/src/client.rs
@@ -1,6 +1,6 @@
 //! A client as the protocol has it: asks the directory where to go, keeps the answer, tries again where that is allowed.
 
-use crate::arrivals::Chance;
+use crate::arrivals::Rng;
 use crate::tally::End;
 use limeway_http1::conn::{Conn, Reply};
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
     zone: String,
     known: RefCell<(Option<Instant>, Vec<SocketAddr>)>,
     count: Rc<Cell<usize>>,
-    chance: RefCell<Chance>,
+    chance: RefCell<Rng>,
     next: Cell<u64>,
 }
 
@@ -58,7 +58,7 @@
             zone: zone.to_owned(),
             known: RefCell::default(),
             count: Rc::default(),
-            chance: RefCell::new(Chance::new(seed)),
+            chance: RefCell::new(Rng::new(seed)),
             next: Cell::new(seed),
         })
     }
--- a/crates/testing/load-generator/src/scale.rs
+++ b/crates/testing/load-generator/src/scale.rs
@@ -23,7 +23,7 @@
 /// Core machines.
 const CORE: usize = 5;
 /// Pause between two reports of a server.
-const BEAT: Duration = Duration::from_millis(1_500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Connections over which servers report, a core machine.
 const LINES: usize = 24;
 /// What does not come about within it is said so.
@@ -145,7 +145,10 @@
             for beat in 1u64.. {
                 let begun = Instant::now();
                 for (k, n) in mine.iter().enumerate() {
-                    tokio::time::sleep_until(begun + BEAT.mul_f64(k as f64 / mine.len() as f64)).await;
+                    tokio::time::sleep_until(
+                        begun + HEARTBEAT_INTERVAL.mul_f64(k as f64 / mine.len() as f64),
+                    )
+                    .await;
                     let body = format!(
                         "{{\"target-service\":\"s{}\",\"address\":\"127.{net}.{}.{}:{}\",\"zone\":\"z{}\",\"config-version\":\"v1\",\"capacity-slots\":6,\"state\":\"ready\",\"cold-left\":\"0ms\",\"call-count\":{beat}}}",
                         n % 170,
@@ -171,7 +174,7 @@
                         _ => conn = None,
                     }
                 }
-                tokio::time::sleep_until(begun + BEAT).await;
+                tokio::time::sleep_until(begun + HEARTBEAT_INTERVAL).await;
             }
         });
     }
--- a/crates/testing/load-generator/src/servers.rs
+++ b/crates/testing/load-generator/src/servers.rs
@@ -1,6 +1,6 @@
 //! Stand-in servers: so many requests at once, a short queue, work that takes time by chance, and life ids.
 
-use crate::arrivals::Chance;
+use crate::arrivals::Rng;
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound, Message};
 use std::cell::{Cell, RefCell};
@@ -32,7 +32,7 @@
     pub ran: Cell<u64>,
     room: Semaphore,
     waiting: Cell<usize>,
-    chance: RefCell<Chance>,
+    chance: RefCell<Rng>,
 }
 
 impl Server {
@@ -56,7 +56,7 @@
             ran: Cell::new(0),
             room: Semaphore::new(slots),
             waiting: Cell::new(0),
-            chance: RefCell::new(Chance::new(seed)),
+            chance: RefCell::new(Rng::new(seed)),
         })
     }
 
--- a/crates/testing/load-generator/src/slopes.rs
+++ b/crates/testing/load-generator/src/slopes.rs
@@ -264,7 +264,7 @@
         let Some(span) = rule.window_budget(5.0, 5.0) else { continue };
         let mut count = Counter::new(1_000_000, 1, rule.window_length(), &doors, true);
         let asks: Vec<TenantRequest> = (0..first * times)
-            .map(|n| TenantRequest { tenant: format!("t{n:06}"), needed: 1, wanted: 2, extra: 1, held: 0 })
+            .map(|n| TenantRequest { tenant: format!("t{n:06}"), needed: 1, desired: 2, extra: 1, held: 0 })
             .collect();
         (0..4).for_each(|door| count.record_blocks(1_000_000, door, &[]));
         let mut now = 1_000_000;
@@ -313,7 +313,7 @@
         };
         for (tenant, door) in (0..n).flat_map(|t| (0..4).map(move |d| (t, d))) {
             let ask =
-                TenantRequest { tenant: format!("t{tenant:06}"), needed: 1, wanted: 1, extra: 0, held: 0 };
+                TenantRequest { tenant: format!("t{tenant:06}"), needed: 1, desired: 1, extra: 0, held: 0 };
             count.grant(1_000, 8_000_000, door, &ask, span);
         }
         forget(count);
--- a/crates/testing/load-generator/src/system.rs
+++ b/crates/testing/load-generator/src/system.rs
@@ -22,7 +22,7 @@
 const INNER: u16 = 29460;
 const SERVERS: u16 = 29100;
 /// Pause between two reports of a server.
-const BEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// The system is up within it, or something is wrong.
 const UP: Duration = Duration::from_secs(20);
 
@@ -220,7 +220,7 @@
                             break;
                         }
                     }
-                    sleep(BEAT).await;
+                    sleep(HEARTBEAT_INTERVAL).await;
                 }
             });
         }
--- a/crates/testing/rehearsal/src/fleet.rs
+++ b/crates/testing/rehearsal/src/fleet.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Time in which a limiter must be ready, where nothing else is said.
-pub const READY_MOST: Duration = Duration::from_secs(20);
+pub const MAX_READY: Duration = Duration::from_secs(20);
 /// Time between two looks at its readiness.
 const READY_EVERY: Duration = Duration::from_millis(20);
 /// After SIGTERM, new connections go on coming for so long.
--- a/crates/testing/rehearsal/src/html.rs
+++ b/crates/testing/rehearsal/src/html.rs
@@ -10,7 +10,7 @@
 /// Size of a chart.
 const SIZE: (u32, u32) = (980, 280);
 /// Nodes drawn one by one; beyond it a chart could not be read.
-const NODES_MOST: usize = 40;
+const MAX_NODES: usize = 40;
 
 /// A line of a chart: its name and a value for each second.
 type Line = (String, Vec<f64>);
@@ -41,7 +41,7 @@
     let mut numbers: Vec<u32> = run.nodes.iter().map(|n| n.node).collect();
     numbers.sort_unstable();
     numbers.dedup();
-    let nodes = numbers.iter().take(NODES_MOST);
+    let nodes = numbers.iter().take(MAX_NODES);
     let nodes =
         nodes.map(|n| line(&format!("node {n}"), &|s| f64::from(s.nodes.get(n).copied().unwrap_or(0))));
     charts.push(("Attempts at each node, a second", nodes.collect()));
--- a/crates/testing/rehearsal/src/main.rs
+++ b/crates/testing/rehearsal/src/main.rs
@@ -8,7 +8,7 @@
 use limeway_checker::run::Run;
 use limeway_checker::{judge_run, Verdict};
 use limeway_gateway_simulation::{Guards, Kind};
-use limeway_rehearsal::fleet::READY_MOST;
+use limeway_rehearsal::fleet::MAX_READY;
 use limeway_rehearsal::rehearsal::{interrupted, rehearse, Plan, Played, Progress};
 use limeway_rehearsal::{daemon, drill, html, measure, nemesis, quotas, report, KitError};
 use limeway_scenario::nemesis::{Schedule, CASES};
@@ -257,7 +257,7 @@
         only: options.only.clone().filter(|_| !each),
         operator: options.operator.clone(),
         logs: options.keep_logs.clone(),
-        ready_most: READY_MOST,
+        ready_most: MAX_READY,
     };
     if options.runs == 1 && !each {
         return one_schedule(&runtime, options, &play);
@@ -440,7 +440,7 @@
             day: day.clone(),
             program: program.to_owned(),
             logs,
-            ready_most: READY_MOST,
+            ready_most: MAX_READY,
             operator,
             history: false,
         };
--- a/crates/testing/rehearsal/src/measure.rs
+++ b/crates/testing/rehearsal/src/measure.rs
@@ -1,6 +1,6 @@
 //! Measurements of the kit and of a limiter against the rate of requests: quick nodes, no troubles, one run a rate.
 
-use crate::fleet::READY_MOST;
+use crate::fleet::MAX_READY;
 use crate::rehearsal::{rehearse, Plan};
 use crate::KitError;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -90,7 +90,7 @@
         day,
         program: program.to_owned(),
         logs: None,
-        ready_most: READY_MOST,
+        ready_most: MAX_READY,
         operator: None,
         history: false,
     };
--- a/crates/testing/rehearsal/src/nemesis.rs
+++ b/crates/testing/rehearsal/src/nemesis.rs
@@ -20,15 +20,15 @@
 use std::time::Duration;
 
 /// All limiters serve again, and service is as before, within this time of the last fault's end.
-pub const BACK_MOST: Micros = 4_000_000;
+pub const MAX_BACK: Micros = 4_000_000;
 /// All hold the counter to be well again within this time of the last fault's end.
-pub const AGREE_MOST: Micros = 4_000_000;
+pub const MAX_AGREE: Micros = 4_000_000;
 /// Memory that a limiter may hold at most, in KiB, and descriptors: far below what the platform grants.
-const USED_MOST: (u64, u64) = (64 * 1024, 512);
+const MAX_USED: (u64, u64) = (64 * 1024, 512);
 /// Width of a column of the timeline.
 const COLUMN: Micros = 500_000;
 /// Plays at most while a failing schedule is cut down: each takes as long as the schedule.
-const PLAYS_MOST: usize = 12;
+const MAX_PLAYS: usize = 12;
 
 /// What is to be played.
 #[derive(Debug, Clone)]
@@ -106,18 +106,18 @@
             });
             found.push(format!("rule {} ({}) broken {} times{first}", rule.rule, rule.name, rule.broken));
         }
-        if self.aftermath.within(BACK_MOST) == Some(false) {
+        if self.aftermath.within(MAX_BACK) == Some(false) {
             let (back, slow) = (self.aftermath.back, self.aftermath.slowest.map(|s| s.1));
             let which = self.aftermath.slowest.map_or("one".into(), |s| format!("limiter {}", s.0));
             found.push(format!("service was back {}, {which} served again {}", when(back), when(slow)));
         }
         let a = &self.agreement;
-        if a.not_tested.is_none() && a.after.is_none_or(|t| t > AGREE_MOST) {
+        if a.not_tested.is_none() && a.after.is_none_or(|t| t > MAX_AGREE) {
             let which = a.last.map_or("one".into(), |l| format!("limiter {l}"));
             found.push(format!("{which} was back on the ordinary path of the counter {}", when(a.after)));
         }
         for cost in &self.verdict.limiters {
-            if cost.rss_kb > USED_MOST.0 || cost.fds > USED_MOST.1 {
+            if cost.rss_kb > MAX_USED.0 || cost.fds > MAX_USED.1 {
                 found.push(format!(
                     "limiter {} held {} KiB and {} descriptors",
                     cost.limiter, cost.rss_kb, cost.fds
@@ -174,7 +174,7 @@
         let played = runtime.block_on(play(options, &less, seed, std::future::pending()));
         played.is_ok_and(|(outcome, _)| outcome.verdict.void.is_none() && !outcome.failures().is_empty())
     };
-    Schedule { event: limeway_gateway_simulation::shorten(&schedule.event, PLAYS_MOST, fails) }
+    Schedule { event: limeway_gateway_simulation::shorten(&schedule.event, MAX_PLAYS, fails) }
 }
 
 /// When something came, as text.
@@ -299,7 +299,7 @@
                 a.during * 100.0,
                 a.worst * 100.0,
                 seconds(a.back),
-                BACK_MOST as f64 / 1e6
+                MAX_BACK as f64 / 1e6
             );
         }
     }
--- a/crates/testing/rehearsal/src/rehearsal.rs
+++ b/crates/testing/rehearsal/src/rehearsal.rs
@@ -22,7 +22,7 @@
 /// Time between two looks at what limiters use.
 const MEASURE_EVERY: Duration = Duration::from_millis(500);
 /// Time beyond the longest deadline for which the last clients are waited for.
-const LAST_MOST: Duration = Duration::from_secs(5);
+const MAX_LAST: Duration = Duration::from_secs(5);
 
 /// What is to be played.
 pub struct Plan {
@@ -145,7 +145,7 @@
             tasks.push(tokio::spawn(stage.clone().play(event, start)));
         }
         let end = world.book.clock.instant(start + length);
-        let last = Instant::from_std(end) + Duration::from_secs_f64(longest) + LAST_MOST;
+        let last = Instant::from_std(end) + Duration::from_secs_f64(longest) + MAX_LAST;
         let mut every = interval(MEASURE_EVERY);
         let mut progress = Progress::default();
         loop {
--- a/crates/testing/rehearsal/tests/fleet.rs
+++ b/crates/testing/rehearsal/tests/fleet.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Plays of one schedule at most.
-const PLAYS_MOST: usize = 4;
+const MAX_PLAYS: usize = 4;
 
 fn options(limiters: u32, seconds: f64) -> Options {
     Options {
@@ -38,7 +38,7 @@
     let schedule = Schedule::parse(schedule).expect("TOML");
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
     let runtime = runtime.expect("a runtime");
-    for _ in 0..PLAYS_MOST {
+    for _ in 0..MAX_PLAYS {
         let played = runtime.block_on(play(options, &schedule, 5, std::future::pending()));
         let (outcome, _) = played.expect("played");
         println!("{}", timeline(&outcome.run));
@@ -47,7 +47,7 @@
             _ => return outcome,
         }
     }
-    panic!("the machine is too busy: {PLAYS_MOST} runs were void");
+    panic!("the machine is too busy: {MAX_PLAYS} runs were void");
 }
 
 fn changes(outcome: &Outcome, limiter: u32) -> Vec<Change> {
--- a/crates/testing/scenario/src/draw.rs
+++ b/crates/testing/scenario/src/draw.rs
@@ -9,13 +9,13 @@
 use std::collections::HashSet;
 
 /// Most first tries of a day: what the kit's memory bears.
-pub const ARRIVALS_MOST: usize = 5_000_000;
+pub const MAX_ARRIVALS: usize = 5_000_000;
 /// Most customers of a day.
-pub const CUSTOMERS_MOST: usize = 200_000;
+pub const MAX_CUSTOMERS: usize = 200_000;
 /// What a customer that uses nearly all asks for, as a share of its rate.
 const FULL_USE: (f64, f64) = (0.88, 0.98);
 /// Longest single piece of work, as a multiple of its class's mean: a tail without end would make a day of few.
-const WORK_MOST: f64 = 20.0;
+const MAX_WORK: f64 = 20.0;
 /// Spread of the work of two attempts of one try.
 const ATTEMPT_NOISE: (f64, f64) = (0.1, 0.4);
 
@@ -178,12 +178,10 @@
         let first = customers.len();
         let (mut sum, mut excess) = (0.0, 0.0);
         while sum < target {
-            if customers.len() >= CUSTOMERS_MOST {
+            if customers.len() >= MAX_CUSTOMERS {
                 return Err(ScenarioError {
                     key: "load.inside".into(),
-                    reason: format!(
-                        "takes more than {CUSTOMERS_MOST} customers; let plans have larger rates"
-                    ),
+                    reason: format!("takes more than {MAX_CUSTOMERS} customers; let plans have larger rates"),
                 });
             }
             let (kind, use_full, calm): (f64, f64, f64) =
@@ -363,8 +361,8 @@
             if keep * most >= rate(when) {
                 continue;
             }
-            if arrivals.len() >= ARRIVALS_MOST {
-                let reason = format!("asks for more than {ARRIVALS_MOST} first tries");
+            if arrivals.len() >= MAX_ARRIVALS {
+                let reason = format!("asks for more than {MAX_ARRIVALS} first tries");
                 return Err(ScenarioError { key: "seconds".into(), reason });
             }
             let mut pick = rng.random::<f64>() * shares;
@@ -399,7 +397,7 @@
                 class,
                 customer: at,
                 units: rng.random_range(c.units[0]..=c.units[1]),
-                work_us: work.min(WORK_MOST * classes[class].0).max(1.0) as Micros,
+                work_us: work.min(MAX_WORK * classes[class].0).max(1.0) as Micros,
                 doors: tries,
                 patience_us: patience,
                 backoff_us: backoff,
--- a/crates/testing/scenario/src/file.rs
+++ b/crates/testing/scenario/src/file.rs
@@ -437,13 +437,13 @@
 }
 
 /// Longest run, in seconds: an hour; more is better cut into runs, whose ledgers fit into memory.
-pub const SECONDS_MOST: f64 = 3_600.0;
+pub const MAX_SECONDS: f64 = 3_600.0;
 /// Most limiters: datagrams take a socket for each pair.
-pub const LIMITERS_MOST: u32 = 40;
+pub const MAX_LIMITERS: u32 = 40;
 /// Most nodes: each takes a listener for each limiter.
-pub const NODES_MOST: u32 = 400;
+pub const MAX_NODES: u32 = 400;
 /// Most entries of a timeline.
-pub const EVENTS_MOST: usize = 1_000;
+pub const MAX_EVENTS: usize = 1_000;
 
 /// The built-in scenarios: name and text.
 const BUILTINS: [(&str, &str); 10] = [
@@ -514,14 +514,14 @@
         if self.name.is_empty() {
             return bad("name", "is empty");
         }
-        number("seconds", self.seconds, 1.0, SECONDS_MOST)?;
+        number("seconds", self.seconds, 1.0, MAX_SECONDS)?;
         self.check_fleet()?;
         self.check_clients()?;
         self.check_services()?;
         self.check_classes()?;
         self.check_plans()?;
-        if self.event.len() > EVENTS_MOST {
-            return bad("event", format!("more than {EVENTS_MOST} entries"));
+        if self.event.len() > MAX_EVENTS {
+            return bad("event", format!("more than {MAX_EVENTS} entries"));
         }
         for (at, entry) in self.event.iter().enumerate() {
             crate::day::What::read(self, entry)
@@ -532,8 +532,8 @@
 
     fn check_fleet(&self) -> Result<(), ScenarioError> {
         let f = &self.fleet;
-        number("fleet.limiters", f64::from(f.limiters), 1.0, f64::from(LIMITERS_MOST))?;
-        number("fleet.nodes", f64::from(f.nodes), 1.0, f64::from(NODES_MOST))?;
+        number("fleet.limiters", f64::from(f.limiters), 1.0, f64::from(MAX_LIMITERS))?;
+        number("fleet.nodes", f64::from(f.nodes), 1.0, f64::from(MAX_NODES))?;
         number("fleet.rooms", f64::from(f.rooms), 1.0, 16.0)?;
         number("fleet.cores", f64::from(f.cores), 1.0, 256.0)?;
         span("fleet.speed", f.speed, 0.01, 1_000.0)?;
--- a/crates/testing/simulation/src/off.rs
+++ b/crates/testing/simulation/src/disabled_guard.rs
@@ -1,58 +1,58 @@
 //! Guards that can be taken away. Nothing is switched in the state machines: what goes in or out of them is tampered with.
 
-use crate::world::{node, World};
+use crate::cluster::{node, Cluster};
 use limeway_control_plane::messages::{Call, HeartbeatReply, PeerStatus, Reply};
 
 /// Which guard is off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Off {
+pub enum DisabledGuard {
     /// None.
-    Nothing,
+    None,
     /// A word leaves a machine before its write is done.
-    WordsEarly,
+    RepliesBeforeWrites,
     /// A write that failed is told as done.
     FailedWrites,
-    /// A machine that lost its disk votes with the life of the old one.
-    OldLife,
-    /// All lives of a process hold ballots under one number.
-    OneBoot,
-    /// Machines that held a seat are not remembered for their duties.
-    Former,
-    /// Who does not answer a round counts as one that has nothing newer.
-    Contact,
+    /// A machine that lost its disk votes with the incarnation of the old one.
+    OldDiskIncarnation,
+    /// All incarnations of a process hold proposals under one number.
+    OneProcessIncarnation,
+    /// Machines that held a voter are not remembered for their role leases.
+    FormerVoters,
+    /// Actor does not answer a round counts as one that has nothing newer.
+    QuorumContact,
     /// Nobody says that a value is accepted and not applied yet.
-    Pending,
-    /// A newcomer is given a seat before its disk has the state.
-    Newcomer,
+    AcceptedValues,
+    /// A candidate is given a voter before its disk has the state.
+    CandidateCatchUp,
     /// What a limiter is told is taken to be as old as its arrival.
-    Ages,
+    ResponseAges,
 }
 
 /// All of them.
-pub const ALL: [Off; 9] = [
-    Off::WordsEarly,
-    Off::FailedWrites,
-    Off::OldLife,
-    Off::OneBoot,
-    Off::Former,
-    Off::Contact,
-    Off::Pending,
-    Off::Newcomer,
-    Off::Ages,
+pub const ALL: [DisabledGuard; 9] = [
+    DisabledGuard::RepliesBeforeWrites,
+    DisabledGuard::FailedWrites,
+    DisabledGuard::OldDiskIncarnation,
+    DisabledGuard::OneProcessIncarnation,
+    DisabledGuard::FormerVoters,
+    DisabledGuard::QuorumContact,
+    DisabledGuard::AcceptedValues,
+    DisabledGuard::CandidateCatchUp,
+    DisabledGuard::ResponseAges,
 ];
 
-impl World {
+impl Cluster {
     /// How a machine stands, as one would have it that nobody asked.
-    fn feigned(&self, at: usize) -> PeerStatus {
-        let (node, life) = (node(at), self.machines[at].disk.votes.disk);
-        let (counted, sound, touch, leaving) = (true, true, true, false);
+    fn forged_status(&self, at: usize) -> PeerStatus {
+        let (node, incarnation) = (node(at), self.machines[at].disk.acceptor.disk);
+        let (counted, sound, has_quorum, leaving) = (true, true, true, false);
         PeerStatus {
             node,
-            disk: life,
+            disk: incarnation,
             incarnation: 1,
             loss_counted: counted,
             disk_healthy: sound,
-            has_quorum: touch,
+            has_quorum,
             shutting_down: leaving,
             slot: 0,
             durable_slot: 0,
@@ -60,8 +60,8 @@
     }
 
     pub(crate) fn tamper_answer(&self, (to, round): (usize, bool), reply: Option<Reply>) -> Option<Reply> {
-        if self.off == Off::Contact && round && reply.is_none() {
-            let (me, pending) = (self.feigned(to), false);
+        if self.disabled == DisabledGuard::QuorumContact && round && reply.is_none() {
+            let (me, pending) = (self.forged_status(to), false);
             let (held, given, servers) = (Vec::new(), Vec::new(), Vec::new());
             return Some(Reply::Heartbeat(HeartbeatReply {
                 status: me,
@@ -75,17 +75,18 @@
     }
 
     fn ahead(&self, standing: &mut PeerStatus) {
-        let seated = self.judge.seats().iter().any(|s| s.node == standing.node && s.disk == standing.disk);
-        if !seated {
-            standing.durable_slot = standing.durable_slot.max(self.judge.newest());
+        let is_voter =
+            self.invariants.voters().iter().any(|s| s.node == standing.node && s.disk == standing.disk);
+        if !is_voter {
+            standing.durable_slot = standing.durable_slot.max(self.invariants.newest());
         }
     }
 
     pub(crate) fn tamper_reply(&self, _at: usize, reply: Reply) -> Reply {
         match reply {
             Reply::Heartbeat(mut pong) => {
-                pong.has_accepted &= self.off != Off::Pending;
-                if self.off == Off::Newcomer {
+                pong.has_accepted &= self.disabled != DisabledGuard::AcceptedValues;
+                if self.disabled == DisabledGuard::CandidateCatchUp {
                     self.ahead(&mut pong.status);
                 }
                 Reply::Heartbeat(pong)
@@ -96,7 +97,7 @@
 
     pub(crate) fn tamper_call(&self, _at: usize, call: Call) -> Call {
         match call {
-            Call::Heartbeat(mut ping) if self.off == Off::Newcomer => {
+            Call::Heartbeat(mut ping) if self.disabled == DisabledGuard::CandidateCatchUp => {
                 self.ahead(&mut ping.status);
                 Call::Heartbeat(ping)
             }
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -1,6 +1,6 @@
 //! A simulated disk: records reach it one after the other, each in its time; what is under way at a kill is kept or lost.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use crate::Micros;
 use limeway_consensus::Acceptor;
 use limeway_control_plane::{LogRecord, WriteId};
@@ -10,8 +10,8 @@
 /// What a machine has on disk, and what is on its way there.
 #[derive(Debug, Clone)]
 pub struct Disk {
-    /// The part in ballots.
-    pub votes: Acceptor,
+    /// The part in proposals.
+    pub acceptor: Acceptor,
     /// The state.
     pub state: State,
     queue: VecDeque<(WriteId, LogRecord)>,
@@ -25,10 +25,10 @@
 }
 
 impl Disk {
-    /// An empty disk of this life.
-    pub fn new(life: u64, sync: Micros) -> Self {
+    /// An empty disk of this incarnation.
+    pub fn new(incarnation: u64, sync: Micros) -> Self {
         Disk {
-            votes: Acceptor { disk: life, ..Acceptor::default() },
+            acceptor: Acceptor { disk: incarnation, ..Acceptor::default() },
             state: State::default(),
             queue: VecDeque::new(),
             failed: false,
@@ -61,10 +61,10 @@
     }
 
     fn apply(&mut self, record: LogRecord) -> Result<(), String> {
-        if record.acceptor.disk != self.votes.disk {
+        if record.acceptor.disk != self.acceptor.disk {
             return Err(format!(
-                "a record of life {} on a disk of life {}",
-                record.acceptor.disk, self.votes.disk
+                "a record of incarnation {} on a disk of incarnation {}",
+                record.acceptor.disk, self.acceptor.disk
             ));
         }
         if let Some((slot, bytes)) = record.snapshot {
@@ -80,16 +80,16 @@
             self.state.apply(&op.ok_or("an operation that cannot be read")?);
         }
         if record.acceptor.applied != self.state.slot {
-            let (votes, state) = (record.acceptor.applied, self.state.slot);
-            return Err(format!("votes of slot {votes} beside a state of slot {state}"));
+            let (acceptor, state) = (record.acceptor.applied, self.state.slot);
+            return Err(format!("acceptor of slot {acceptor} beside a state of slot {state}"));
         }
-        self.votes = record.acceptor;
+        self.acceptor = record.acceptor;
         Ok(())
     }
 
     /// The process or the power ends: some of what is under way is still written, in order.
-    pub fn cut_short(&mut self, chance: &mut Chance) -> Result<(), String> {
-        let kept = chance.below(self.queue.len() as u64 + 1);
+    pub fn interrupt(&mut self, rng: &mut Rng) -> Result<(), String> {
+        let kept = rng.below(self.queue.len() as u64 + 1);
         let writes = !self.full && !self.failed;
         for (_, record) in std::mem::take(&mut self.queue).into_iter().take(kept as usize) {
             if writes {
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -1,12 +1,14 @@
 //! Faults begin and end.
 
+use crate::clients::LIMITERS;
+use crate::cluster::Cluster;
 use crate::disk::Disk;
+use crate::event::SimEvent;
 use crate::schedule::Fault;
-use crate::world::{Ev, World, LIMITERS};
-use crate::{Off, SECOND};
+use crate::{DisabledGuard, SECOND};
 use limeway_control_plane::Event;
 
-impl World {
+impl Cluster {
     fn lose(&mut self, fault: &Fault, begins: bool) {
         let who = fault.lost().unwrap_or_else(|| (0..self.machines.len()).collect());
         for at in who {
@@ -15,11 +17,11 @@
         }
     }
 
-    /// The ways that a cut takes: from and to.
-    fn ways(&self, fault: &Fault) -> Vec<(usize, usize)> {
+    /// The links that a cut takes: from and to.
+    fn links(&self, fault: &Fault) -> Vec<(usize, usize)> {
         let Fault::Cut { who, peers, out, into } = fault else { return Vec::new() };
         let cores = self.machines.len();
-        // Who is cut off from all is cut off from those that come later, too, and from limiters if both ways are cut.
+        // Actor is cut off from all is cut off from those that come later, too, and from limiters if both links are cut.
         let all = peers.len() + 1 == self.schedule.machines;
         let ends = if *out && *into { cores + LIMITERS } else { cores };
         let peers: Vec<usize> = if all { (0..ends).filter(|p| p != who).collect() } else { peers.clone() };
@@ -34,14 +36,18 @@
         match &fault {
             Fault::Down { who, wipe, power } => {
                 let who = *who;
-                (self.machines[who].dark, self.machines[who].down) = (*power, true);
+                (self.machines[who].without_power, self.machines[who].down) = (*power, true);
                 self.kill(who);
                 if *wipe {
                     self.machines[who].first = false;
-                    let drawn = self.chance.draw() | 1;
+                    let drawn = self.rng.draw() | 1;
                     let disk = &mut self.machines[who].disk;
-                    let life = if self.off == Off::OldLife { disk.votes.disk } else { drawn };
-                    *disk = Disk::new(life, disk.sync);
+                    let incarnation = if self.disabled == DisabledGuard::OldDiskIncarnation {
+                        disk.acceptor.disk
+                    } else {
+                        drawn
+                    };
+                    *disk = Disk::new(incarnation, disk.sync);
                 }
             }
             Fault::AllDown => {
@@ -51,12 +57,14 @@
             }
             Fault::Restart(who) => {
                 self.machines[*who].ends = Some(true);
-                self.push(self.t, Ev::Leave(*who));
+                self.push(self.t, SimEvent::Leave(*who));
+            }
+            Fault::Cut { .. } => {
+                self.links(&fault).into_iter().for_each(|(a, b)| self.network.partition(a, b))
             }
-            Fault::Cut { .. } => self.ways(&fault).into_iter().for_each(|(a, b)| self.net.cut(a, b)),
             Fault::Freeze(who) => self.machines[*who].frozen = until,
             Fault::Slow(who) => {
-                let (slow, thin) = (self.chance.between(30_000, 500_000), self.chance.between(5, 200));
+                let (slow, thin) = (self.rng.between(30_000, 500_000), self.rng.between(5, 200));
                 self.slow(*who, slow, thin);
             }
             Fault::Reset(a, b) => {
@@ -66,14 +74,14 @@
             Fault::DiskFull(who) => self.machines[*who].disk.full = true,
             Fault::DiskHangs(who) => self.machines[*who].disk.hangs = until,
             Fault::DiskSlow(who) => self.machines[*who].disk.sync *= 40,
-            Fault::Storm => self.net.loss = 250,
+            Fault::Storm => self.network.loss = 250,
             Fault::Replace(who) => {
                 let new = self.machines.iter().rposition(|m| !m.exists && m.process.is_none());
                 if let Some(new) = new.filter(|n| *n >= self.schedule.machines + self.schedule.spares) {
-                    self.push(self.t, Ev::Start(new));
+                    self.push(self.t, SimEvent::Start(new));
                     self.machines[*who].ends = Some(false);
-                    let later = self.t + self.chance.between(SECOND / 2, 3 * SECOND);
-                    self.push(later, Ev::Leave(*who));
+                    let later = self.t + self.rng.between(SECOND / 2, 3 * SECOND);
+                    self.push(later, SimEvent::Leave(*who));
                 }
             }
         }
@@ -81,8 +89,8 @@
 
     fn slow(&mut self, who: usize, slow: u64, thin: u64) {
         for other in 0..self.machines.len() + LIMITERS {
-            self.net.slow(who, other, slow, thin);
-            self.net.slow(other, who, slow, thin);
+            self.network.slow(who, other, slow, thin);
+            self.network.slow(other, who, slow, thin);
         }
     }
 
@@ -92,20 +100,20 @@
         match &fault {
             Fault::Down { who, .. } => {
                 self.machines[*who].down = false;
-                self.push(self.t, Ev::Start(*who));
+                self.push(self.t, SimEvent::Start(*who));
             }
             Fault::AllDown => {
                 for at in 0..self.machines.len() {
-                    // Who is down for another reason comes back when that ends.
+                    // Actor is down for another reason comes back when that ends.
                     if self.machines[at].exists {
-                        let soon = self.t + self.chance.below(300_000);
-                        self.push(soon, Ev::Start(at));
+                        let soon = self.t + self.rng.below(300_000);
+                        self.push(soon, SimEvent::Start(at));
                     }
                 }
             }
             Fault::Cut { .. } => {
-                for (a, b) in self.ways(&fault) {
-                    for (a, b, ev) in self.net.join(a, b) {
+                for (a, b) in self.links(&fault) {
+                    for (a, b, ev) in self.network.join(a, b) {
                         self.post((a, b), 100, ev);
                     }
                 }
@@ -113,15 +121,15 @@
             Fault::Slow(who) => self.slow(*who, 0, 0),
             Fault::DiskFull(who) => self.machines[*who].disk.full = false,
             Fault::DiskSlow(who) => self.machines[*who].disk.sync /= 40,
-            Fault::Storm => self.net.loss = 0,
+            Fault::Storm => self.network.loss = 0,
             _ => {}
         }
         // Settings files name machines of this moment.
         let live: Vec<u32> =
-            (0..self.machines.len()).filter(|m| self.machines[*m].exists).map(crate::world::node).collect();
+            (0..self.machines.len()).filter(|m| self.machines[*m].exists).map(crate::cluster::node).collect();
         for at in 0..self.machines.len() {
-            if self.chance.happens(300) && self.machines[at].frozen <= self.t {
-                let seeds = (0..3).filter_map(|_| self.chance.pick(&live).copied()).collect();
+            if self.rng.with_permille(300) && self.machines[at].frozen <= self.t {
+                let seeds = (0..3).filter_map(|_| self.rng.pick(&live).copied()).collect();
                 self.handle(at, Event::SeedsChanged(seeds));
             }
         }
--- a/crates/testing/simulation/src/lib.rs
+++ b/crates/testing/simulation/src/lib.rs
@@ -1,31 +1,36 @@
-//! The core machines' state machines under a simulated network, disks and faults, in virtual time, from a seed.
+//! The control plane under a simulated network, disks and faults, in virtual time, from a seed.
 //!
-//! What runs here is [`limeway_control_plane::Marker`] and [`limeway_distribution::Board`] themselves, not copies: the rig stands where sockets,
-//! disk and clock stand in the program. Limiters, servers and operators are simple stand-ins that keep to the protocol.
+//! What runs here is [`limeway_control_plane::ControlPlane`] and [`limeway_distribution::StateCache`] themselves, not copies: the simulator
+//! stands where sockets, disk and clock stand in the program. Gateways, servers and operators are simple stand-ins that keep to the
+//! protocol.
 //!
-//! - [`Schedule`] is a deployment and its faults, drawn from a seed within the fault model: at most so many machines are lost
-//!   at once, and one counts as lost until [`CATCH_UP`] after its return. All may be killed at once where disks stay.
-//! - [`World`] plays it. [`judge::Judge`] looks at every step.
-//! - [`play`](play::play) plays seeds, [`shrink`](play::shrink) cuts a failing schedule down.
-//! - [`Off`] takes a guard away, to show that the rig finds it.
+//! - [`Schedule`] is a deployment and its faults, drawn from a seed within the fault model: at most so many machines are lost at once,
+//!   and one counts as lost until [`CATCH_UP`] after its return. All may be killed at once where disks stay.
+//! - [`Cluster`] runs it. [`invariants::Invariants`] are checked after every event, progress from time to time and at the end.
+//! - [`run`](runner::play) runs seeds, [`shrink`](runner::shrink) reduces a failing schedule.
+//! - [`DisabledGuard`] takes a guard away, to show that the simulator finds it.
 //!
-//! The same seed gives the same play, on any machine.
+//! The same seed gives the same run, on any machine.
 #![forbid(unsafe_code)]
 
-pub mod chance;
+pub mod clients;
+pub mod cluster;
+pub mod disabled_guard;
 pub mod disk;
+pub mod event;
 mod faults;
-pub mod judge;
-pub mod net;
-pub mod off;
-pub mod people;
-pub mod play;
+pub mod invariants;
+pub mod machine;
+pub mod network;
+mod progress;
+pub mod rng;
+pub mod runner;
 pub mod schedule;
-pub mod world;
+mod workload;
 
-pub use off::Off;
+pub use cluster::Cluster;
+pub use disabled_guard::DisabledGuard;
 pub use schedule::Schedule;
-pub use world::World;
 
 /// A time or a length of time, in microseconds.
 pub type Micros = u64;
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! The simulator's command line.
 #![forbid(unsafe_code)]
 
-use limeway_simulation::{off, play, Off, Schedule};
+use limeway_simulation::{disabled_guard, runner, DisabledGuard, Schedule};
 use std::process::ExitCode;
 
 /// Schedules that `digest` plays where nothing is said.
@@ -11,9 +11,9 @@
 mod flags {
     #![allow(missing_docs, reason = "what the macro writes has none")]
     xflags::xflags! {
-        /// The core machines' state machines under simulated faults, in virtual time.
+        /// The replicas' state machines under simulated faults, in virtual time.
         cmd limeway-simulation {
-            /// Plays schedules until one fails, and cuts that down.
+            /// Plays schedules until one fails, and partitions that down.
             cmd play {
                 /// How many (1000).
                 optional --seeds seeds: u64
@@ -26,7 +26,7 @@
                 /// Three machines with slow disks that are killed again and again.
                 optional --harsh
                 /// A guard to take away, by its name.
-                optional --off off: String
+                optional --without guard: String
             }
             /// Plays schedules and prints one number over all that came of them: equal for builds that behave alike.
             cmd digest {
@@ -40,7 +40,7 @@
                 /// Its seed.
                 required seed: u64
                 /// A guard to take away, by its name.
-                optional --off off: String
+                optional --without guard: String
                 /// It is one of `play --harsh`.
                 optional --harsh
                 /// Do not cut it down.
@@ -51,11 +51,11 @@
 }
 use flags::{LimewaySimulation, LimewaySimulationCmd};
 
-fn guard(name: Option<String>) -> Option<Off> {
-    let Some(name) = name else { return Some(Off::Nothing) };
-    let found = off::ALL.into_iter().find(|o| format!("{o:?}") == name);
+fn guard(name: Option<String>) -> Option<DisabledGuard> {
+    let Some(name) = name else { return Some(DisabledGuard::None) };
+    let found = disabled_guard::ALL.into_iter().find(|o| format!("{o:?}") == name);
     if found.is_none() {
-        eprintln!("limeway-simulation: no such guard; there are {:?}", off::ALL);
+        eprintln!("limeway-simulation: no such guard; there are {:?}", disabled_guard::ALL);
     }
     found
 }
@@ -68,15 +68,15 @@
     }
 }
 
-fn show(schedule: Schedule, off: Off, whole: bool) -> ExitCode {
-    let schedule = if whole { schedule } else { play::shrink(&schedule, off) };
-    let (broken, world) = play::once(schedule.clone(), off);
+fn show(schedule: Schedule, disabled: DisabledGuard, whole: bool) -> ExitCode {
+    let schedule = if whole { schedule } else { runner::shrink(&schedule, disabled) };
+    let (broken, cluster) = runner::once(schedule.clone(), disabled);
     println!("{} machines, {} spares, {} losses", schedule.machines, schedule.spares, schedule.losses);
     for timed in &schedule.faults {
         println!("{:>10.3} s for {:.3} s: {:?}", timed.at as f64 / 1e6, timed.long as f64 / 1e6, timed.fault);
     }
-    println!("faults end at {} s; {} events", schedule.heal / 1_000_000, world.steps);
-    for line in world.account() {
+    println!("faults end at {} s; {} events", schedule.heal / 1_000_000, cluster.event_count);
+    for line in cluster.account() {
         println!("{line}");
     }
     match broken {
@@ -94,32 +94,37 @@
 fn main() -> ExitCode {
     match LimewaySimulation::from_env_or_exit().subcommand {
         LimewaySimulationCmd::Play(flags) => {
-            let Some(off) = guard(flags.off) else { return ExitCode::FAILURE };
+            let Some(disabled) = guard(flags.without) else { return ExitCode::FAILURE };
             let from = flags.from.unwrap_or(0);
             let seeds = from..from.saturating_add(flags.seeds.unwrap_or(1_000));
-            let outcome =
-                play::play(seeds, draw(flags.harsh), off, flags.jobs.unwrap_or(2), flags.most.unwrap_or(1));
+            let outcome = runner::play(
+                seeds,
+                draw(flags.harsh),
+                disabled,
+                flags.jobs.unwrap_or(2),
+                flags.most.unwrap_or(1),
+            );
             let [done, refused, reads] = outcome.tally;
             println!(
                 "{} seeds, {} events, {done} orders done, {refused} refused, {reads} reads",
-                outcome.seeds, outcome.steps
+                outcome.seeds, outcome.event_count
             );
             for (seed, broken) in &outcome.broken {
                 println!("seed {seed}: {broken}");
             }
             match outcome.broken.first() {
-                Some((seed, _)) => show(draw(flags.harsh)(*seed), off, false),
+                Some((seed, _)) => show(draw(flags.harsh)(*seed), disabled, false),
                 None => ExitCode::SUCCESS,
             }
         }
         LimewaySimulationCmd::Digest(flags) => {
             let seeds = flags.seeds.unwrap_or(DIGEST_SEEDS);
-            let digest = play::digest(0..seeds, draw(flags.harsh));
+            let digest = runner::digest(0..seeds, draw(flags.harsh));
             println!("{seeds} seeds, digest {digest:016x}");
             ExitCode::SUCCESS
         }
-        LimewaySimulationCmd::Replay(flags) => match guard(flags.off) {
-            Some(off) => show(draw(flags.harsh)(flags.seed), off, flags.whole),
+        LimewaySimulationCmd::Replay(flags) => match guard(flags.without) {
+            Some(disabled) => show(draw(flags.harsh)(flags.seed), disabled, flags.whole),
             None => ExitCode::FAILURE,
         },
     }
--- a/crates/testing/simulation/src/chance.rs
+++ b/crates/testing/simulation/src/rng.rs
@@ -1,10 +1,10 @@
-//! Chance from a seed: SplitMix64.
+//! Rng from a seed: SplitMix64.
 
-/// Numbers drawn by chance, the same for the same seed.
+/// Numbers drawn by rng, the same for the same seed.
 #[derive(Debug, Clone)]
-pub struct Chance(pub u64);
+pub struct Rng(pub u64);
 
-impl Chance {
+impl Rng {
     /// Any number.
     pub fn draw(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -25,7 +25,7 @@
     }
 
     /// True in so many of a thousand cases.
-    pub fn happens(&mut self, permille: u64) -> bool {
+    pub fn with_permille(&mut self, permille: u64) -> bool {
         self.below(1_000) < permille
     }
 
--- a/crates/testing/simulation/src/play.rs
+++ b/crates/testing/simulation/src/runner.rs
@@ -1,12 +1,12 @@
-//! Plays seeds, side by side, and cuts failing schedules down.
+//! Plays seeds, side by side, and partitions failing schedules down.
 
-use crate::schedule::{Schedule, Timed};
-use crate::{Off, World};
+use crate::schedule::{Schedule, TimedFault};
+use crate::{Cluster, DisabledGuard};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 
 /// Plays of one shrink, at most.
-const PLAYS_MOST: usize = 300;
+const MAX_SHRINK_RUNS: usize = 300;
 
 /// What came of some seeds.
 #[derive(Debug, Clone, Default)]
@@ -16,22 +16,22 @@
     /// Seeds played.
     pub seeds: u64,
     /// Events over all.
-    pub steps: u64,
+    pub event_count: u64,
     /// Orders told done, refused, and reads.
     pub tally: [usize; 3],
 }
 
 /// Plays one schedule: what was broken, if anything.
-pub fn once(schedule: Schedule, off: Off) -> (Option<String>, World) {
-    let mut world = World::new(schedule, off);
-    (world.play(), world)
+pub fn once(schedule: Schedule, disabled: DisabledGuard) -> (Option<String>, Cluster) {
+    let mut cluster = Cluster::new(schedule, disabled);
+    (cluster.play(), cluster)
 }
 
 /// Plays the schedules that are drawn from these seeds with so many threads, until so many fail.
 pub fn play(
     seeds: std::ops::Range<u64>,
     draw: fn(u64) -> Schedule,
-    off: Off,
+    disabled: DisabledGuard,
     jobs: usize,
     most: usize,
 ) -> Outcome {
@@ -44,10 +44,10 @@
                 if seed >= seeds.end || stop.load(Ordering::Relaxed) {
                     return;
                 }
-                let (broken, world) = once(draw(seed), off);
+                let (broken, cluster) = once(draw(seed), disabled);
                 let Ok(mut all) = all.lock() else { return };
-                (all.seeds, all.steps) = (all.seeds + 1, all.steps + world.steps);
-                all.tally.iter_mut().zip(world.judge.tally).for_each(|(a, b)| *a += b);
+                (all.seeds, all.event_count) = (all.seeds + 1, all.event_count + cluster.event_count);
+                all.tally.iter_mut().zip(cluster.invariants.tally).for_each(|(a, b)| *a += b);
                 if let Some(broken) = broken {
                     all.broken.push((seed, broken));
                     stop.fetch_or(all.broken.len() >= most, Ordering::Relaxed);
@@ -64,12 +64,12 @@
 /// machine. Two builds that behave alike give the same number.
 pub fn digest(seeds: std::ops::Range<u64>, draw: fn(u64) -> Schedule) -> u64 {
     seeds.fold(0, |digest, seed| {
-        let (broken, world) = once(draw(seed), Off::Nothing);
+        let (broken, cluster) = once(draw(seed), DisabledGuard::None);
         let mut bytes = digest.to_le_bytes().to_vec();
-        bytes.extend(world.steps.to_le_bytes());
-        bytes.extend(world.judge.tally.iter().flat_map(|n| n.to_le_bytes()));
+        bytes.extend(cluster.event_count.to_le_bytes());
+        bytes.extend(cluster.invariants.tally.iter().flat_map(|n| n.to_le_bytes()));
         bytes.push(u8::from(broken.is_some()));
-        for machine in &world.machines {
+        for machine in &cluster.machines {
             bytes.extend(limeway_distribution::encode(&machine.disk.state));
         }
         limeway_membership::hash(&bytes)
@@ -82,12 +82,12 @@
 }
 
 /// The smallest schedule found that still fails in the same way: faults are taken out one by one.
-pub fn shrink(schedule: &Schedule, off: Off) -> Schedule {
-    let fails = |schedule: Schedule| once(schedule, off).0.map(|b| kind(&b));
+pub fn shrink(schedule: &Schedule, disabled: DisabledGuard) -> Schedule {
+    let fails = |schedule: Schedule| once(schedule, disabled).0.map(|b| kind(&b));
     let first = fails(schedule.clone());
-    let with = |faults: Vec<Timed>| Schedule { faults, ..schedule.clone() };
+    let with = |faults: Vec<TimedFault>| Schedule { faults, ..schedule.clone() };
     let (mut best, mut plays, mut at) = (schedule.faults.clone(), 0, 0);
-    while at < best.len() && plays < PLAYS_MOST {
+    while at < best.len() && plays < MAX_SHRINK_RUNS {
         let mut less = best.clone();
         less.remove(at);
         plays += 1;
--- a/crates/testing/simulation/src/schedule.rs
+++ b/crates/testing/simulation/src/schedule.rs
@@ -1,6 +1,6 @@
 //! A deployment and its faults, drawn from a seed within the fault model.
 
-use crate::chance::Chance;
+use crate::rng::Rng;
 use crate::{Micros, CATCH_UP, SECOND};
 
 /// A trouble. Machines are numbered from 0; each lasts for `long` and then ends.
@@ -8,7 +8,7 @@
 pub enum Fault {
     /// The process is killed and comes back. `wipe`: with an empty disk. `power`: nothing tells its peers.
     Down {
-        /// Who.
+        /// Actor.
         who: usize,
         /// Its disk is lost.
         wipe: bool,
@@ -21,7 +21,7 @@
     Restart(usize),
     /// A machine is cut off from these others.
     Cut {
-        /// Who.
+        /// Actor.
         who: usize,
         /// From whom.
         peers: Vec<usize>,
@@ -50,7 +50,7 @@
 
 /// A fault and its time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Timed {
+pub struct TimedFault {
     /// When it begins.
     pub at: Micros,
     /// How long it lasts.
@@ -59,19 +59,19 @@
     pub fault: Fault,
 }
 
-/// See the module.
+/// A deployment and its faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
     /// All else is drawn from it.
     pub seed: u64,
     /// Core machines at the start.
     pub machines: usize,
-    /// Core machines that come later, without a seat at first.
+    /// Core machines that come later, without a voter at first.
     pub spares: usize,
     /// Machines that may be lost at once.
     pub losses: usize,
     /// In the order of their times.
-    pub faults: Vec<Timed>,
+    pub faults: Vec<TimedFault>,
     /// All faults have ended by then.
     pub heal: Micros,
     /// Writes take so many times as long.
@@ -79,7 +79,7 @@
 }
 
 impl Fault {
-    /// Who is lost by it; nobody named means all.
+    /// Actor is lost by it; nobody named means all.
     pub fn lost(&self) -> Option<Vec<usize>> {
         match self {
             Fault::AllDown | Fault::Storm => None,
@@ -100,34 +100,34 @@
 impl Schedule {
     /// Draws a deployment and its faults.
     pub fn draw(seed: u64) -> Self {
-        let mut chance = Chance(seed ^ 0x005e_ed0f_5c8e_d01e);
-        let (machines, losses) = [(3, 1), (3, 1), (3, 1), (4, 1), (5, 2)][chance.below(5) as usize];
-        let spares = [0, 0, 1, 2][chance.below(4) as usize];
-        let heal = chance.between(15, 35) * SECOND;
+        let mut rng = Rng(seed ^ 0x005e_ed0f_5c8e_d01e);
+        let (machines, losses) = [(3, 1), (3, 1), (3, 1), (4, 1), (5, 2)][rng.below(5) as usize];
+        let spares = [0, 0, 1, 2][rng.below(4) as usize];
+        let heal = rng.between(15, 35) * SECOND;
         let mut schedule = Schedule { seed, machines, spares, losses, faults: Vec::new(), heal, disks: 1 };
         // Until when each machine counts as lost; those that are gone for good are no more.
         let mut lost = vec![0; machines];
         let mut replaced = vec![false; machines];
         let mut replacements = 0;
-        let mut t = chance.between(0, 4) * SECOND;
+        let mut t = rng.between(0, 4) * SECOND;
         loop {
-            t += chance.between(0, 3 * SECOND);
+            t += rng.between(0, 3 * SECOND);
             let free: Vec<usize> = (0..machines).filter(|m| lost[*m] <= t && !replaced[*m]).collect();
             let down = (0..machines).filter(|m| lost[*m] > t).count();
-            let all = chance.happens(120);
-            let who = chance.pick(&free).copied();
+            let all = rng.with_permille(120);
+            let who = rng.pick(&free).copied();
             let fault = match who {
-                _ if all && chance.happens(600) => Fault::AllDown,
+                _ if all && rng.with_permille(600) => Fault::AllDown,
                 _ if all && down == 0 => Fault::Storm,
-                Some(who) if down < losses => schedule.single(who, &mut chance, replacements < 2),
-                _ => reset(machines, &mut chance),
+                Some(who) if down < losses => schedule.single(who, &mut rng, replacements < 2),
+                _ => reset(machines, &mut rng),
             };
             let long = match &fault {
-                Fault::AllDown => chance.between(100_000, SECOND),
+                Fault::AllDown => rng.between(100_000, SECOND),
                 Fault::Restart(_) => SECOND,
                 Fault::Replace(_) => 9 * SECOND,
                 Fault::Reset(..) => 0,
-                _ => chance.between(50_000, 6 * SECOND),
+                _ => rng.between(50_000, 6 * SECOND),
             };
             if t + long + CATCH_UP > heal {
                 break;
@@ -141,7 +141,7 @@
                 replaced[who] = true;
                 replacements += 1;
             }
-            schedule.faults.push(Timed { at: t, long, fault });
+            schedule.faults.push(TimedFault { at: t, long, fault });
         }
         schedule
     }
@@ -149,44 +149,44 @@
     /// Draws machines with slow disks that are all killed again and again, while as many as may be lost have other troubles. It stays
     /// within the fault model, and wears out what keeps promises over a loss.
     pub fn harsh(seed: u64) -> Self {
-        let mut chance = Chance(seed ^ 0x0bad_da75);
+        let mut rng = Rng(seed ^ 0x0bad_da75);
         let (heal, disks) = (14 * SECOND, 8);
         let (machines, losses) = if seed.is_multiple_of(2) { (3, 1) } else { (5, 2) };
         let mut schedule = Schedule { seed, machines, spares: 0, losses, faults: Vec::new(), heal, disks };
-        let (mut t, mut lost) = (chance.between(SECOND / 2, 3 * SECOND), vec![0; machines]);
+        let (mut t, mut lost) = (rng.between(SECOND / 2, 3 * SECOND), vec![0; machines]);
         while t < 8 * SECOND {
-            if chance.happens(600) {
-                let long = chance.between(20_000, 200_000);
-                schedule.faults.push(Timed { at: t, long, fault: Fault::AllDown });
+            if rng.with_permille(600) {
+                let long = rng.between(20_000, 200_000);
+                schedule.faults.push(TimedFault { at: t, long, fault: Fault::AllDown });
             } else if lost.iter().filter(|l| **l >= t).count() < losses {
-                let who = chance.below(machines as u64) as usize;
+                let who = rng.below(machines as u64) as usize;
                 if lost[who] >= t {
                     continue;
                 }
-                let long = chance.between(20_000, 2 * SECOND);
-                let fault = match chance.below(5) {
+                let long = rng.between(20_000, 2 * SECOND);
+                let fault = match rng.below(5) {
                     0..=1 => Fault::Down { who, wipe: true, power: false },
                     2 => Fault::DiskFull(who),
-                    _ => schedule.single(who, &mut chance, false),
+                    _ => schedule.single(who, &mut rng, false),
                 };
                 lost[who] = t + long + CATCH_UP;
-                schedule.faults.push(Timed { at: t, long, fault });
+                schedule.faults.push(TimedFault { at: t, long, fault });
             }
-            t += chance.between(50_000, SECOND);
+            t += rng.between(50_000, SECOND);
         }
         schedule
     }
 
-    fn single(&self, who: usize, chance: &mut Chance, replace: bool) -> Fault {
-        match chance.below(20) {
-            0..=2 => Fault::Down { who, wipe: false, power: chance.happens(500) },
-            3..=7 => Fault::Down { who, wipe: true, power: chance.happens(500) },
+    fn single(&self, who: usize, rng: &mut Rng, replace: bool) -> Fault {
+        match rng.below(20) {
+            0..=2 => Fault::Down { who, wipe: false, power: rng.with_permille(500) },
+            3..=7 => Fault::Down { who, wipe: true, power: rng.with_permille(500) },
             8..=11 => {
                 let mut peers: Vec<usize> = (0..self.machines).filter(|m| *m != who).collect();
-                if chance.happens(300) {
-                    peers.retain(|_| chance.happens(600));
+                if rng.with_permille(300) {
+                    peers.retain(|_| rng.with_permille(600));
                 }
-                let way = chance.below(4);
+                let way = rng.below(4);
                 Fault::Cut { who, peers, out: way != 1, into: way != 2 }
             }
             12 => Fault::Freeze(who),
@@ -201,6 +201,6 @@
     }
 }
 
-fn reset(machines: usize, chance: &mut Chance) -> Fault {
-    Fault::Reset(chance.below(machines as u64) as usize, chance.below(machines as u64) as usize)
+fn reset(machines: usize, rng: &mut Rng) -> Fault {
+    Fault::Reset(rng.below(machines as u64) as usize, rng.below(machines as u64) as usize)
 }
--- /dev/null
+++ b/crates/testing/simulation/src/workload.rs
@@ -0,0 +1,318 @@
+//! Stand-ins for those whom replicas serve: operators, limiters, servers. They keep to the protocol and decide nothing.
+
+use crate::clients::{OperatorRequest, PendingRequest};
+use crate::cluster::{node, Cluster};
+use crate::event::{Actor, Origin, SimEvent};
+use crate::{DisabledGuard, Micros, SECOND};
+use limeway_control_plane::messages::{Call, Reply};
+use limeway_control_plane::{ApiRequest, ApiResponse};
+use limeway_distribution::LongPoll;
+use limeway_membership::{MemberHeartbeat, SHARDS};
+use limeway_quota::QuotaRequest;
+use limeway_routing_config::ConfigUpdate;
+use limeway_service_registry::{Phase, ServerReport};
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+/// Orders under way, at most, over all operators.
+const MAX_PENDING_REQUESTS: usize = 8;
+/// An operator attempts another machine after so long without an answer.
+const REQUEST_TIMEOUT: Micros = SECOND;
+/// A limiter's poll is held for so long.
+const LONG_POLL_WAIT: Micros = 600_000;
+/// A limiter passes over a machine that failed for so long.
+const BACKOFF: Micros = 1_500_000;
+/// No new updates come so long after the last fault.
+const NO_NEW_REQUESTS_AFTER: Micros = 8 * SECOND;
+/// Evacuations are sent again for so long.
+const EVACUATION_RETRY_TIME: Micros = 2 * SECOND;
+
+impl Cluster {
+    /// A machine that callers know of; now and then the list is old.
+    fn any(&mut self) -> usize {
+        let live: Vec<usize> = (0..self.machines.len()).filter(|m| self.machines[*m].exists).collect();
+        self.rng.pick(&live).copied().unwrap_or(0)
+    }
+
+    fn send_ask(&mut self, to: usize, who: Actor, ask: ApiRequest) {
+        let at = self.t + self.rng.between(500, 20_000);
+        self.push(at, SimEvent::Ask(to, who, ask));
+    }
+
+    pub(crate) fn wake(&mut self, who: Actor) {
+        match who {
+            Actor::Operator(operator) => self.new_request(operator),
+            Actor::PendingRequest(number, attempts) => {
+                if self.workload.pending_requests.get(&number).is_some_and(|f| f.attempts == attempts) {
+                    self.send_request(number);
+                }
+            }
+            Actor::Limiter(limiter) => self.poll(limiter),
+            Actor::Server(server) => self.report(server),
+            Actor::Gone(server, sent) => {
+                if self.workload.servers[server].leaving && self.workload.servers[server].sent == sent {
+                    self.leave(server);
+                }
+            }
+            Actor::Reader(_) => {}
+        }
+    }
+
+    pub(crate) fn api_answered(&mut self, who: Actor, told: Option<ApiResponse>) {
+        match who {
+            Actor::PendingRequest(number, attempts) => self.answered(number, attempts, told),
+            Actor::Gone(server, _) if told == Some(ApiResponse::Done) => {
+                let server = &mut self.workload.servers[server];
+                if server.leaving {
+                    self.workload.gone.push(server.id.clone());
+                    server.incarnations += 1;
+                    let at = server.id.split('-').next().unwrap_or("s").to_owned();
+                    (server.id, server.leaving) = (format!("{at}-{}", server.incarnations), false);
+                    server.ends = self.t + self.rng.between(5 * SECOND, 15 * SECOND);
+                }
+            }
+            Actor::Reader(at) => {
+                if let Some(ApiResponse::Document(_)) = told {
+                    self.workload.read.push(at);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// An operator sends something new.
+    fn new_request(&mut self, operator: usize) {
+        if self.t > self.schedule.heal + NO_NEW_REQUESTS_AFTER {
+            return;
+        }
+        let next = self.t + self.rng.between(30_000, 900_000);
+        self.push(next, SimEvent::Wake(Actor::Operator(operator)));
+        if self.workload.pending_requests.len() >= MAX_PENDING_REQUESTS {
+            return;
+        }
+        let zone = ["z1", "z2"][self.rng.below(2) as usize];
+        let known = self.workload.known[operator];
+        let request = match self.rng.below(20) {
+            0..=2 => OperatorRequest::Read,
+            // None so late that it would be closed, as its caller has gone, just as all is looked at.
+            3 if self.t < self.schedule.heal => OperatorRequest::Evacuate(zone, self.rng.with_permille(500)),
+            fate => {
+                // Some are invalid: their version is no higher.
+                let version = if fate == 4 { known } else { known + self.rng.between(1, 4) as u32 };
+                let (set, drop) = (Vec::new(), Vec::new());
+                let digest = u128::from(self.rng.draw());
+                OperatorRequest::Order(ConfigUpdate {
+                    version,
+                    base_version: known,
+                    replace: false,
+                    upserts: set,
+                    removals: drop,
+                    digest,
+                })
+            }
+        };
+        self.workload.last += 1;
+        let number = self.workload.last;
+        let pending = PendingRequest { operator, request, begun: self.t, sent: self.t, attempts: 0 };
+        self.workload.pending_requests.insert(number, pending);
+        self.send_request(number);
+    }
+
+    /// Sends, or sends again unchanged to another machine.
+    fn send_request(&mut self, number: u64) {
+        let to = self.any();
+        let Some(pending) = self.workload.pending_requests.get_mut(&number) else { return };
+        if matches!(pending.request, OperatorRequest::Evacuate(..))
+            && self.t > pending.begun + EVACUATION_RETRY_TIME
+        {
+            self.workload.pending_requests.remove(&number);
+            return;
+        }
+        pending.attempts += 1;
+        pending.sent = self.t;
+        let who = Actor::PendingRequest(number, pending.attempts);
+        let ask = match &pending.request {
+            OperatorRequest::Order(order) => ApiRequest::UpdateConfig(order.clone()),
+            OperatorRequest::Read => ApiRequest::ReadConfig,
+            OperatorRequest::Evacuate(zone, begun) => {
+                ApiRequest::Evacuate { zone: (*zone).to_owned(), starts: *begun }
+            }
+        };
+        self.send_ask(to, who, ask);
+        self.push(self.t + REQUEST_TIMEOUT, SimEvent::Wake(who));
+    }
+
+    fn answered(&mut self, number: u64, attempts: u64, told: Option<ApiResponse>) {
+        let Some(pending) =
+            self.workload.pending_requests.get_mut(&number).filter(|f| f.attempts == attempts)
+        else {
+            return;
+        };
+        let known = &mut self.workload.known[pending.operator];
+        match told {
+            None | Some(ApiResponse::Indeterminate) => {
+                let pause = 30_000 << attempts.min(4);
+                let again = SimEvent::Wake(Actor::PendingRequest(number, attempts));
+                return self.push(self.t + pause, again);
+            }
+            Some(ApiResponse::Done | ApiResponse::EvacuationDone(_)) => {
+                if let OperatorRequest::Order(order) = &pending.request {
+                    *known = (*known).max(order.version);
+                }
+            }
+            Some(ApiResponse::Document(text)) => {
+                *known = (*known).max(crate::invariants::version(&text).unwrap_or(0))
+            }
+            // Someone else was first, or it is wrong: what is in place is read before the next.
+            Some(ApiResponse::VersionConflict | ApiResponse::Invalid(_)) => {
+                let operator = pending.operator;
+                let (request, begun) = (OperatorRequest::Read, self.t);
+                self.workload.pending_requests.remove(&number);
+                self.workload.last += 1;
+                let pending = PendingRequest { operator, request, begun, sent: begun, attempts: 0 };
+                self.workload.pending_requests.insert(self.workload.last, pending);
+                return self.send_request(self.workload.last);
+            }
+        }
+        self.workload.pending_requests.remove(&number);
+    }
+
+    fn member_heartbeat(&self, at: usize) -> MemberHeartbeat {
+        let ip = Ipv4Addr::new(10, 9, 0, at as u8 + 1);
+        MemberHeartbeat {
+            node: u32::from(ip),
+            frontend: SocketAddrV4::new(ip, 80),
+            zone: ["z1", "z2"][at % 2].into(),
+            ready: true,
+            age: 0,
+        }
+    }
+
+    /// A limiter polls the first replica of its order that has not failed.
+    fn poll(&mut self, at: usize) {
+        let (t, me) = (self.t, self.member_heartbeat(at));
+        let limiter = &mut self.workload.limiters[at];
+        limiter.failed.retain(|_, until| *until > t);
+        let known = limiter.cache.state.voter_nodes().into_iter().map(|n| n as usize - 1);
+        let mut order: Vec<usize> = known.collect();
+        order.extend((0..self.machines.len()).filter(|m| self.machines[*m].exists));
+        order.sort_by_key(|m| {
+            std::cmp::Reverse(limeway_membership::rendezvous_weight(u64::from(me.node), node(*m)))
+        });
+        let up = order.iter().find(|m| !limiter.failed.contains_key(m));
+        let to = up.or(order.first()).copied().unwrap_or(0);
+        let (epoch, servers, members) = limiter.above;
+        let want = limiter.cache.state_request();
+        let number = limiter.poll.0 + 1;
+        limiter.poll = (number, to, t, want.slot);
+        let poll = LongPoll {
+            sender: me,
+            downstream: Vec::new(),
+            request: want,
+            incarnation: epoch,
+            registry_revision: servers,
+            members_revision: members,
+            max_wait: LONG_POLL_WAIT,
+        };
+        self.ask_core(at, number, to, Call::LongPoll(Box::new(poll)));
+        self.push(t + LONG_POLL_WAIT + 700_000, SimEvent::Answer(Origin::Limiter(at, number), None));
+        self.ask_quota(at);
+    }
+
+    fn ask_core(&mut self, at: usize, number: u64, to: usize, call: Call) {
+        let end = self.machines.len() + at;
+        self.post((end, to), 200, SimEvent::Call(to, Origin::Limiter(at, number), call));
+    }
+
+    /// Tells every new holder of a shard what is held of it: nothing.
+    fn ask_quota(&mut self, at: usize) {
+        let me = self.member_heartbeat(at).node;
+        for group in 0..SHARDS {
+            let limiter = &mut self.workload.limiters[at];
+            let holder = limiter.cache.holders[group];
+            if holder.node == 0 || holder == limiter.reported_to[group] {
+                continue;
+            }
+            limiter.reported_to[group] = holder;
+            let (term, incarnation, number) = (0, u64::from(me) + 1, 0);
+            let request = QuotaRequest {
+                shard: group,
+                tenants: Vec::new(),
+                blocks: Some(Vec::new()),
+                counter: term,
+                incarnation,
+                sequence: number,
+            };
+            self.ask_core(at, 0, holder.node as usize - 1, Call::LeaseQuota(me, vec![request]));
+        }
+    }
+
+    /// A limiter's poll is answered.
+    pub(crate) fn poll_answered(&mut self, at: usize, number: u64, reply: Option<Reply>) {
+        let (t, disabled) = (self.t, self.disabled);
+        let limiter = &mut self.workload.limiters[at];
+        let (last, above, mut asked, slot) = limiter.poll;
+        if number != last || number == 0 {
+            return;
+        }
+        limiter.poll.0 += 1;
+        let mut pause = 500;
+        match reply {
+            Some(Reply::Update(mut feed)) => {
+                if disabled == DisabledGuard::ResponseAges {
+                    (feed.confirmed_age, feed.waited, asked) = (feed.confirmed_age.map(|_| 0), 0, t);
+                }
+                let now = t + limiter.offset;
+                limiter.above = (feed.incarnation, feed.registry_revision, feed.members_revision);
+                let stale = feed.confirmed_age.is_none_or(|a| a > BACKOFF);
+                limiter.cache.apply_response(now, asked + limiter.offset, slot, *feed);
+                self.invariants.check_limiter(t, at, limiter);
+                if stale {
+                    limiter.failed.insert(above, t + BACKOFF);
+                    pause = 60_000;
+                }
+            }
+            _ => {
+                limiter.failed.insert(above, t + BACKOFF);
+                pause = 60_000;
+            }
+        }
+        self.push(t + pause, SimEvent::Wake(Actor::Limiter(at)));
+    }
+
+    fn report(&mut self, at: usize) {
+        self.push(self.t + SECOND / 2, SimEvent::Wake(Actor::Server(at)));
+        let server = &mut self.workload.servers[at];
+        if server.leaving {
+            return;
+        }
+        if self.t >= server.ends && self.t < self.schedule.heal + NO_NEW_REQUESTS_AFTER {
+            server.leaving = true;
+            return self.leave(at);
+        }
+        server.count += 1;
+        let report = ServerReport {
+            id: server.id.clone(),
+            service: "a".into(),
+            address: SocketAddrV4::new(Ipv4Addr::new(10, 8, 0, at as u8 + 1), 80),
+            zone: "z1".into(),
+            capacity_slots: 1,
+            phase: Phase::Ready,
+            slow_start_left: 0,
+            sequence: server.count,
+            age: 0,
+            unresponsive: false,
+        };
+        let to = self.any();
+        self.send_ask(to, Actor::Server(at), ApiRequest::Heartbeat(report));
+    }
+
+    /// A server says that it has ended, until that is acknowledged.
+    fn leave(&mut self, at: usize) {
+        let server = &mut self.workload.servers[at];
+        server.sent += 1;
+        let (id, who) = (server.id.clone(), Actor::Gone(at, server.sent));
+        let to = self.any();
+        self.send_ask(to, who, ApiRequest::Deregister(id));
+        self.push(self.t + SECOND, SimEvent::Wake(who));
+    }
+}
--- a/crates/testing/test-services/src/book.rs
+++ b/crates/testing/test-services/src/book.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Records that are kept at most between two times that they are taken: a full run of the largest scenario.
-const RECORDS_MOST: usize = 20_000_000;
+const MAX_RECORDS: usize = 20_000_000;
 
 /// Locks what no code leaves half-changed: a panic elsewhere must not end the whole run.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -117,7 +117,7 @@
     /// Writes a record down.
     pub fn add(&self, record: Record) {
         let mut records = lock(&self.records);
-        if records.len() < RECORDS_MOST {
+        if records.len() < MAX_RECORDS {
             records.push(record);
         } else {
             self.lost.fetch_add(1, Ordering::Relaxed);
--- a/crates/testing/test-services/src/clients.rs
+++ b/crates/testing/test-services/src/clients.rs
@@ -19,15 +19,15 @@
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
 /// Longest body of an answer that a client reads.
-const BODY_MOST: usize = 2 * 1024 * 1024;
+const MAX_BODY: usize = 2 * 1024 * 1024;
 /// Time beyond its patience for which a client still listens, so that a late answer is seen as one.
 const LISTEN_ON: Duration = Duration::from_millis(150);
 /// Time that a connection is given to be ready for the next request after an answer.
-const READY_MOST: Duration = Duration::from_millis(100);
+const MAX_READY: Duration = Duration::from_millis(100);
 /// Time for one call of `/_health`.
-const HEALTH_MOST: Duration = Duration::from_millis(500);
+const MAX_HEALTH: Duration = Duration::from_millis(500);
 /// Tries of one arrival at most: its id leaves four bits for them.
-pub const TRIES_MOST: usize = 16;
+pub const MAX_TRIES: usize = 16;
 
 /// How the front sees a limiter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -116,7 +116,7 @@
 
     async fn give_back(&self, mut line: Line) {
         line.fresh = false;
-        if let Ok(Ok(())) = timeout(READY_MOST, line.sender.ready()).await {
+        if let Ok(Ok(())) = timeout(MAX_READY, line.sender.ready()).await {
             lock(&self.idle).push(line);
         }
     }
@@ -183,7 +183,7 @@
             task.abort();
             Some(answer.status().as_u16() == 200)
         };
-        timeout(HEALTH_MOST, ask).await.ok().flatten().unwrap_or(false)
+        timeout(MAX_HEALTH, ask).await.ok().flatten().unwrap_or(false)
     }
 
     /// Clients that have not come to an end.
@@ -222,7 +222,7 @@
         let class = &self.day.scenario.class[arrival.class];
         let deadline = due + (class.deadline_seconds * 1e6) as Micros;
         let key_us = (self.day.scenario.rules.key_seconds * 1e6) as Micros;
-        for number in 0..arrival.doors.len().min(TRIES_MOST) {
+        for number in 0..arrival.doors.len().min(MAX_TRIES) {
             let now = self.book.now();
             let patience = arrival.patience_us[number].min(deadline.saturating_sub(now));
             let late_key = class.effect == Effect::Keyed && now + patience > due + key_us;
@@ -340,7 +340,7 @@
         };
         let status = answer.status().as_u16();
         let advice = answer.headers().get("Retry-After").and_then(|v| v.to_str().ok()?.parse::<f64>().ok());
-        let body = Limited::new(answer.into_body(), BODY_MOST).collect().await.map_err(|_| Left::Broken)?;
+        let body = Limited::new(answer.into_body(), MAX_BODY).collect().await.map_err(|_| Left::Broken)?;
         let sound = body.to_bytes() == self.book.answer_body(id).as_bytes();
         self.book.add(Record::Answer { t: self.book.now(), id, status, sound });
         door.give_back(line).await;
--- a/crates/testing/test-services/src/counter.rs
+++ b/crates/testing/test-services/src/counter.rs
@@ -18,13 +18,13 @@
 use tokio::sync::watch;
 
 /// Connections of one limiter at most, as the platform's.
-const CONNECTIONS_MOST: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 /// Idle connections are closed after so long.
 const IDLE: Duration = Duration::from_secs(10);
 /// Longest life of a name.
 const LIFE_MOST_MS: u64 = 60_000;
 /// Names that are kept at most: expired ones go first.
-const NAMES_MOST: usize = 1_000_000;
+const MAX_NAMES: usize = 1_000_000;
 
 /// How the counter is.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -149,7 +149,7 @@
             };
             let ended = watch::Sender::new(false);
             let hold = Hold {
-                most: CONNECTIONS_MOST,
+                most: MAX_CONNECTIONS,
                 open: Arc::new(AtomicUsize::new(0)),
                 idle: IDLE,
                 end: ended.subscribe(),
@@ -207,7 +207,7 @@
         let turn = (slow * 1e6 / self.services.counter_part_per_second) as Micros;
         state.free_at[part] = start + turn;
         let totals = &mut state.totals[usize::from(state.moved.contains(&limiter))];
-        if totals.len() >= NAMES_MOST {
+        if totals.len() >= MAX_NAMES {
             totals.retain(|_, v| v.1 > now);
         }
         let fresh = (0.0, now + life * 1_000);
--- a/crates/testing/test-services/src/discovery.rs
+++ b/crates/testing/test-services/src/discovery.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 
 /// Connections that an agent holds at most.
-const CONNECTIONS_MOST: usize = 64;
+const MAX_CONNECTIONS: usize = 64;
 /// Idle connections are closed after so long.
 const IDLE: Duration = Duration::from_secs(60);
 /// Longest wait of a watch, in milliseconds.
@@ -86,7 +86,7 @@
         let discovery = Arc::new(Discovery { addresses, book, agents, end });
         for (limiter, listener) in (0..).zip(listeners) {
             let hold = Hold {
-                most: CONNECTIONS_MOST,
+                most: MAX_CONNECTIONS,
                 open: Arc::new(AtomicUsize::new(0)),
                 idle: IDLE,
                 end: discovery.end.subscribe(),
--- a/crates/testing/test-services/src/node.rs
+++ b/crates/testing/test-services/src/node.rs
@@ -19,9 +19,9 @@
 use tokio::sync::{oneshot, watch, Notify};
 
 /// Longest body that a node reads, in bytes.
-const BODY_MOST: usize = 64 * 1024;
+const MAX_BODY: usize = 64 * 1024;
 /// Keys that a node remembers at most: beyond it the oldest go, as they would with the time.
-const KEYS_MOST: usize = 1_000_000;
+const MAX_KEYS: usize = 1_000_000;
 
 /// What is the same for all nodes.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
     fn remember(&self, key: &str, now: Micros, life: Micros) {
         let mut seen = lock(&self.0);
         let seen = &mut *seen;
-        while seen.order.front().is_some_and(|(t, _)| t + life < now) || seen.order.len() >= KEYS_MOST {
+        while seen.order.front().is_some_and(|(t, _)| t + life < now) || seen.order.len() >= MAX_KEYS {
             let Some((t, key)) = seen.order.pop_front() else { break };
             if seen.at.get(&key) == Some(&t) {
                 seen.at.remove(&key);
@@ -249,7 +249,7 @@
         let book = &self.common.book;
         let (head, body) = asked.request.into_parts();
         let begun = asked.traffic.begun();
-        let body = match Limited::new(body, BODY_MOST).collect().await {
+        let body = match Limited::new(body, MAX_BODY).collect().await {
             Ok(body) => body.to_bytes(),
             Err(_) => return answer(StatusCode::BAD_REQUEST, false, String::new()),
         };
--- a/crates/testing/test-services/src/peers.rs
+++ b/crates/testing/test-services/src/peers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Longest datagram; a longer one is not passed on.
-const DATAGRAM_MOST: usize = 256;
+const MAX_DATAGRAM: usize = 256;
 
 /// Where limiters are, and how they see each other.
 pub struct Peers {
@@ -34,7 +34,7 @@
         let mut bucket = lock(&self.buckets[to]);
         bucket.0 = (bucket.0 + (now - bucket.1) as f64 / 1e6 * self.per_second).min(self.per_second);
         bucket.1 = now;
-        let room = bucket.0 >= 1.0 && bytes <= DATAGRAM_MOST;
+        let room = bucket.0 >= 1.0 && bytes <= MAX_DATAGRAM;
         bucket.0 -= if room { 1.0 } else { 0.0 };
         room
     }
--- a/crates/testing/test-services/src/world.rs
+++ b/crates/testing/test-services/src/world.rs
@@ -24,7 +24,7 @@
 /// News of a process that has died comes later than that of one that leaves, by so much.
 const DEATH_LATER: Micros = 3_000_000;
 /// Time that a draining node is given to finish before it ends.
-const DRAIN_MOST: Duration = Duration::from_secs(5);
+const MAX_DRAIN: Duration = Duration::from_secs(5);
 /// The room in which the counter stands.
 const COUNTER_ROOM: u32 = 0;
 
@@ -289,7 +289,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let _ = tokio::time::timeout(DRAIN_MOST, emptied).await;
+        let _ = tokio::time::timeout(MAX_DRAIN, emptied).await;
         node.kill();
         self.publish(slot, Health::Gone, 0);
         // Its sockets are let go by tasks that hear of the end on their own.
