--- a/crates/balancer/src/directory.rs
+++ b/crates/balancer/src/directory.rs
@@ -18,13 +18,13 @@
 }
 
 /// The value of a parameter in a query string.
-pub fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+pub(crate) fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
 /// Answers `/-/resolve` from the limiters that can serve, given by their zones. Nothing if none is known.
-pub fn resolve<'a>(
+pub(crate) fn resolve<'a>(
     settings: &Settings,
     frontends: impl Iterator<Item = (&'a str, SocketAddrV4)>,
     parameters: &str,
--- a/crates/balancer/src/gateway/following.rs
+++ b/crates/balancer/src/gateway/following.rs
@@ -41,7 +41,7 @@
 }
 
 impl Following {
-    pub fn new(settings: &Settings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         let seeds = transport::nodes(&settings.seeds);
         let follower = Follower::new(NodeId::from(settings.ip), &settings.zone, seeds);
         Following {
--- a/crates/balancer/src/gateway/quota.rs
+++ b/crates/balancer/src/gateway/quota.rs
@@ -47,7 +47,7 @@
 }
 
 impl QuotaClient {
-    pub fn new(rule: QuotaRule) -> Self {
+    pub(super) fn new(rule: QuotaRule) -> Self {
         QuotaClient {
             client: RefCell::new(LeaseClient::new(rule.window_length(), clock::random() | 1)),
             waiters: RefCell::default(),
--- a/crates/balancer/src/proxy/local_response.rs
+++ b/crates/balancer/src/proxy/local_response.rs
@@ -16,22 +16,22 @@
 
 impl LocalResponse {
     /// A response without advice to retry.
-    pub fn new(status: u16) -> Self {
+    pub(super) fn new(status: u16) -> Self {
         LocalResponse { status, retry_after: None }
     }
 
     /// A response with the advice to retry after so many seconds.
-    pub fn retry_after(status: u16, seconds: f64) -> Self {
+    pub(super) fn retry_after(status: u16, seconds: f64) -> Self {
         LocalResponse { status, retry_after: Some(seconds) }
     }
 
     /// 503, with the usual advice to retry.
-    pub fn unavailable() -> Self {
+    pub(super) fn unavailable() -> Self {
         LocalResponse::retry_after(503, RETRY_AFTER_SECONDS)
     }
 
     /// The response as bytes; `close` ends the connection.
-    pub fn to_bytes(&self, close: bool) -> Vec<u8> {
+    pub(super) fn to_bytes(&self, close: bool) -> Vec<u8> {
         let mut headers = Vec::new();
         if let Some(seconds) = self.retry_after {
             // Writing to memory does not fail.
--- a/crates/balancer/tests/system/mod.rs
+++ b/crates/balancer/tests/system/mod.rs
@@ -11,27 +11,27 @@
 
 /// Ports of all machines.
 const CONTROL: u16 = 28383;
-pub const DIRECTORY: u16 = 28385;
-pub const FRONT: u16 = 28389;
+pub(crate) const DIRECTORY: u16 = 28385;
+pub(crate) const FRONT: u16 = 28389;
 const READY: u16 = 28384;
 const INNER: u16 = 27460;
 /// Whatever should come about does so within it, on a machine that is busy with other tests too.
-pub const SOON: Duration = Duration::from_secs(25);
+pub(crate) const SOON: Duration = Duration::from_secs(25);
 
-pub struct Machine {
+pub(crate) struct Machine {
     pub ip: Ipv4Addr,
     edge: bool,
     child: Mutex<Option<Child>>,
 }
 
-pub struct System {
+pub(crate) struct System {
     pub folder: PathBuf,
     pub machines: Vec<Machine>,
 }
 
 impl System {
     /// Addresses 127.`net`.0.1 and up: three core machines, then limiters.
-    pub fn start(net: u8, limiters: u8) -> Self {
+    pub(crate) fn start(net: u8, limiters: u8) -> Self {
         let folder = std::env::temp_dir().join(format!("limeway-whole-{}-{net}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -42,7 +42,7 @@
         system
     }
 
-    pub fn run(&self, at: usize, first: bool) {
+    pub(crate) fn run(&self, at: usize, first: bool) {
         let seeds: Vec<String> = self.machines[..3].iter().map(|m| format!("{}:{CONTROL}", m.ip)).collect();
         let (ip, edge) = (self.machines[at].ip, self.machines[at].edge);
         let zone = ["z1", "z1", "z2", "z1", "z1", "z2"][at];
@@ -78,18 +78,18 @@
         *self.machines[at].child.lock().expect("lock") = Some(child);
     }
 
-    pub fn kill(&self, at: usize) {
+    pub(crate) fn kill(&self, at: usize) {
         let mut child = self.machines[at].child.lock().expect("lock").take().expect("runs");
         child.kill().expect("killed");
         child.wait().expect("ended");
     }
 
-    pub fn control(&self, at: usize, call: &str, body: &str) -> Option<(u16, String)> {
+    pub(crate) fn control(&self, at: usize, call: &str, body: &str) -> Option<(u16, String)> {
         ask((self.machines[at].ip, CONTROL).into(), "POST", &format!("/-/rpc?call={call}"), &[], body)
     }
 
     /// As an operator does: to any core machine, until there is a clear answer.
-    pub fn order(&self, call: &str, body: &str) -> (u16, String) {
+    pub(crate) fn order(&self, call: &str, body: &str) -> (u16, String) {
         let (begun, mut at) = (Instant::now(), 0);
         loop {
             if let Some((status, text)) = self.control(at % 3, call, body).filter(|(s, _)| *s < 500) {
@@ -100,7 +100,7 @@
         }
     }
 
-    pub fn log(&self) -> String {
+    pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 }
@@ -116,7 +116,7 @@
 }
 
 /// One request on a connection of its own.
-pub fn ask(
+pub(crate) fn ask(
     to: SocketAddr,
     method: &str,
     path: &str,
@@ -135,7 +135,7 @@
     Some((status, answer.split_once("\r\n\r\n")?.1.to_owned()))
 }
 
-pub fn config(version: u32, base: u32, prefix: &str, keys: &str) -> String {
+pub(crate) fn config(version: u32, base: u32, prefix: &str, keys: &str) -> String {
     format!(
         r#"{{"config-version":"{version:08x}","base-version":"{base:08x}","resource-list":[{{"resource-kind":"routes","metadata":{{"name":"r"}},"specification":{{"hostname":"a.example","path-prefix":"{prefix}","route-type":"idempotent","timeout":"2s","target-service":"s","max-attempts":3}}}},{{"resource-kind":"services","metadata":{{"name":"s"}},"specification":{{"health-path":"/health"}}}},{{"resource-kind":"tenants","metadata":{{"name":"t"}},"specification":{{"api-keys":[{keys}],"rate-per-s":200,"burst-size":200}}}}]}}"#
     )
--- a/crates/balancer/tests/whole.rs
+++ b/crates/balancer/tests/whole.rs
@@ -80,6 +80,7 @@
 }
 
 #[test]
+#[allow(clippy::too_many_lines, reason = "one schedule, read from top to bottom")]
 fn the_whole_path_serves_and_outlives_a_kill_of_each() {
     let net = 80 + (std::process::id() % 100) as u8;
     let system = System::start(net, 3);
--- a/crates/control/control-plane/src/agreement.rs
+++ b/crates/control/control-plane/src/agreement.rs
@@ -48,19 +48,19 @@
 
 impl Agreement {
     /// When a proposal expires, or the next one may begin if one is wanted.
-    pub fn next_tick(&self, now: Timestamp, wanted: bool) -> Option<Timestamp> {
+    pub(crate) fn next_tick(&self, now: Timestamp, wanted: bool) -> Option<Timestamp> {
         let free_from = self.backoff_until.max(self.yields_until);
         let expires = self.ballot.as_ref().map(|ballot| ballot.deadline);
         expires.or((wanted && free_from > now).then_some(free_from))
     }
 
     /// Whether a proposal may be begun.
-    pub fn is_free(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_free(&self, now: Timestamp) -> bool {
         self.ballot.is_none() && now >= self.backoff_until.max(self.yields_until)
     }
 
     /// The slot of other replicas' proposals is decided; so is that of an own one that is not for a later slot.
-    pub fn slot_decided(&mut self, applied: Slot) {
+    pub(crate) fn slot_decided(&mut self, applied: Slot) {
         self.yields_until = 0;
         if self.ballot.as_ref().is_some_and(|ballot| ballot.proposer.slot <= applied) {
             self.ballot = None;
--- a/crates/control/control-plane/src/peers.rs
+++ b/crates/control/control-plane/src/peers.rs
@@ -23,12 +23,12 @@
 }
 
 impl Peer {
-    pub fn is_alive(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_alive(&self, now: Timestamp) -> bool {
         now < self.last_seen + PEER_TIMEOUT
     }
 
     /// The voter that this peer is, or would be.
-    pub fn as_voter(&self) -> Voter {
+    pub(crate) fn as_voter(&self) -> Voter {
         voter_of(&self.status)
     }
 }
--- a/crates/control/control-plane/src/persistence.rs
+++ b/crates/control/control-plane/src/persistence.rs
@@ -59,7 +59,7 @@
 }
 
 impl Persistence {
-    pub fn new(durable_slot: Slot) -> Self {
+    pub(crate) fn new(durable_slot: Slot) -> Self {
         Persistence {
             pending: VecDeque::new(),
             last_write: 0,
@@ -75,31 +75,31 @@
     }
 
     /// Whether the disk takes writes.
-    pub fn is_healthy(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_healthy(&self, now: Timestamp) -> bool {
         !self.failed && self.pending.front().is_none_or(|write| now < write.started + WRITE_TIMEOUT)
     }
 
     /// The last slot that is on disk.
-    pub fn durable_slot(&self) -> Slot {
+    pub(crate) fn durable_slot(&self) -> Slot {
         self.durable_slot
     }
 
-    pub fn pending_count(&self) -> usize {
+    pub(crate) fn pending_count(&self) -> usize {
         self.pending.len() + self.unwritten.len()
     }
 
     /// Whether the last write failed, and none is under way that may succeed.
-    pub fn should_retry(&self) -> bool {
+    pub(crate) fn should_retry(&self) -> bool {
         self.failed && self.pending.is_empty()
     }
 
     /// Queues an operation for the next write.
-    pub fn append(&mut self, slot: Slot, operation: ByteBuf) {
+    pub(crate) fn append(&mut self, slot: Slot, operation: ByteBuf) {
         self.unwritten.push((slot, operation));
     }
 
     /// The next write brings a snapshot.
-    pub fn require_snapshot(&mut self) {
+    pub(crate) fn require_snapshot(&mut self) {
         self.unwritten.clear();
         self.needs_snapshot = true;
     }
--- a/crates/control/control-plane/src/proposals.rs
+++ b/crates/control/control-plane/src/proposals.rs
@@ -73,15 +73,15 @@
 }
 
 impl Proposals {
-    pub fn any_pending(&self) -> bool {
+    pub(crate) fn any_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    pub fn pending_count(&self) -> usize {
+    pub(crate) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    pub fn next_tick(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn next_tick(&self, now: Timestamp) -> Option<Timestamp> {
         let next = |request: &PendingRequest| {
             let retry_at = if request.retry_at > now { request.retry_at } else { Timestamp::MAX };
             request.deadline.min(retry_at)
@@ -90,7 +90,7 @@
     }
 
     /// When the newest request came that a state confirmed at this time is too old for; none if it is new enough for all.
-    pub fn newest_unconfirmed(&self, confirmed_at: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn newest_unconfirmed(&self, confirmed_at: Timestamp) -> Option<Timestamp> {
         self.pending.iter().map(|request| request.received).filter(|at| *at > confirmed_at).max()
     }
 }
@@ -175,7 +175,7 @@
                     continue;
                 }
                 RequestStep::Propose if is_free && operation.is_none() => {
-                    operation = request.take_operation()
+                    operation = request.take_operation();
                 }
                 _ => {}
             }
--- a/crates/control/control-plane/src/quorum.rs
+++ b/crates/control/control-plane/src/quorum.rs
@@ -71,12 +71,12 @@
 }
 
 impl Quorum {
-    pub fn pending_count(&self) -> usize {
+    pub(crate) fn pending_count(&self) -> usize {
         self.rounds.len() + self.unconfirmed.len()
     }
 
     /// The voters have changed. What a majority of the former ones answered says nothing of what the new ones choose.
-    pub fn voters_changed(&mut self) {
+    pub(crate) fn voters_changed(&mut self) {
         self.unconfirmed.clear();
         for round in self.rounds.values_mut() {
             round.concluded = true;
--- a/crates/control/control-plane/src/updates.rs
+++ b/crates/control/control-plane/src/updates.rs
@@ -31,11 +31,11 @@
 }
 
 impl LongPolls {
-    pub fn pending_count(&self) -> usize {
+    pub(crate) fn pending_count(&self) -> usize {
         self.waiting.len()
     }
 
-    pub fn next_tick(&self) -> Option<Timestamp> {
+    pub(crate) fn next_tick(&self) -> Option<Timestamp> {
         self.waiting.iter().map(|poll| poll.deadline).min()
     }
 }
--- a/crates/control/control-plane/src/voters.rs
+++ b/crates/control/control-plane/src/voters.rs
@@ -58,7 +58,7 @@
 }
 
 impl VoterChanges {
-    pub fn new(known: Vec<Voter>) -> Self {
+    pub(crate) fn new(known: Vec<Voter>) -> Self {
         VoterChanges {
             review: false,
             known,
--- a/crates/control/control-plane/tests/replica/cluster.rs
+++ b/crates/control/control-plane/tests/replica/cluster.rs
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A millisecond, in microseconds.
-pub const MS: u64 = 1_000;
+pub(crate) const MS: u64 = 1_000;
 /// A second, in microseconds.
-pub const SECOND: u64 = 1_000 * MS;
+pub(crate) const SECOND: u64 = 1_000 * MS;
 /// When the replicas start.
-pub const START: Timestamp = 100 * SECOND;
+pub(crate) const START: Timestamp = 100 * SECOND;
 /// How long a step of [`Cluster::run`] is.
 const STEP: u64 = 5 * MS;
 
-pub fn options(node: NodeId, seeds: &[NodeId]) -> StartOptions {
+pub(crate) fn options(node: NodeId, seeds: &[NodeId]) -> StartOptions {
     StartOptions {
         node,
         incarnation: 1_000 + u64::from(node),
@@ -36,7 +36,7 @@
 }
 
 /// An update of the configuration to a version with one tenant, built on another version.
-pub fn update(version: u32, base_version: u32) -> ConfigUpdate {
+pub(crate) fn update(version: u32, base_version: u32) -> ConfigUpdate {
     let text = format!(
         r#"{{"config-version":"{version:08x}","base-version":"{base_version:08x}","resource-list":[{{"resource-kind":"tenants","metadata":{{"name":"t{version}"}},"specification":{{"api-keys":["k{version}"],"rate-per-s":50}}}}]}}"#
     );
@@ -60,7 +60,7 @@
 }
 
 /// The replicas, the time, and whatever is under way.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: Timestamp,
     nodes: BTreeMap<NodeId, Node>,
     network: VecDeque<Message>,
@@ -73,7 +73,7 @@
 
 impl Cluster {
     /// Replicas 1 to `count` of an initial start.
-    pub fn start(count: NodeId) -> Self {
+    pub(crate) fn start(count: NodeId) -> Self {
         let mut cluster = Cluster {
             now: START,
             nodes: BTreeMap::new(),
@@ -91,7 +91,7 @@
     }
 
     /// Starts a replica.
-    pub fn add(&mut self, options: StartOptions) {
+    pub(crate) fn add(&mut self, options: StartOptions) {
         let node = options.node;
         let mut actions = Vec::new();
         let replica = ControlPlane::new(self.now, options, &mut actions);
@@ -102,12 +102,12 @@
     }
 
     /// Ends a process at once: what was not written is lost.
-    pub fn kill(&mut self, node: NodeId) {
+    pub(crate) fn kill(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
     /// Cuts a replica off from the others, or joins it again.
-    pub fn set_cut(&mut self, node: NodeId, cut: bool) {
+    pub(crate) fn set_cut(&mut self, node: NodeId, cut: bool) {
         if cut {
             self.cut.insert(node);
         } else {
@@ -116,20 +116,20 @@
     }
 
     /// Has a disk hang, or go on.
-    pub fn set_disk_hangs(&mut self, node: NodeId, hangs: bool) {
+    pub(crate) fn set_disk_hangs(&mut self, node: NodeId, hangs: bool) {
         self.node_mut(node).disk_hangs = hangs;
     }
 
-    pub fn replica(&self, node: NodeId) -> &ControlPlane {
+    pub(crate) fn replica(&self, node: NodeId) -> &ControlPlane {
         &self.nodes.get(&node).expect("a running replica").replica
     }
 
     /// The records that a replica's disk has taken.
-    pub fn records(&self, node: NodeId) -> &[LogRecord] {
+    pub(crate) fn records(&self, node: NodeId) -> &[LogRecord] {
         &self.nodes.get(&node).expect("a running replica").records
     }
 
-    pub fn has_exited(&self, node: NodeId) -> bool {
+    pub(crate) fn has_exited(&self, node: NodeId) -> bool {
         self.nodes.get(&node).expect("a replica").exited
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Hands a replica an event.
-    pub fn handle(&mut self, node: NodeId, event: Event) {
+    pub(crate) fn handle(&mut self, node: NodeId, event: Event) {
         let now = self.now;
         let mut actions = Vec::new();
         self.node_mut(node).replica.handle(now, event, &mut actions);
@@ -146,19 +146,19 @@
     }
 
     /// Calls the API of a replica. The response is there once [`Cluster::response`] has it.
-    pub fn call_api(&mut self, node: NodeId, request: ApiRequest) -> CallerId {
+    pub(crate) fn call_api(&mut self, node: NodeId, request: ApiRequest) -> CallerId {
         self.next_caller += 1;
         let caller = self.next_caller;
         self.handle(node, Event::ApiCall(caller, request));
         caller
     }
 
-    pub fn response(&self, caller: CallerId) -> Option<&ApiResponse> {
+    pub(crate) fn response(&self, caller: CallerId) -> Option<&ApiResponse> {
         self.responses.get(&caller)
     }
 
     /// Calls the API and waits for the response.
-    pub fn ask(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
+    pub(crate) fn ask(&mut self, node: NodeId, request: ApiRequest) -> ApiResponse {
         let caller = self.call_api(node, request);
         let end = self.now + 2 * SECOND;
         while self.response(caller).is_none() && self.now < end {
@@ -214,7 +214,7 @@
     }
 
     /// Performs writes, messages, time-outs and ticks for so long.
-    pub fn run(&mut self, duration: u64) {
+    pub(crate) fn run(&mut self, duration: u64) {
         let end = self.now + duration;
         while self.now < end {
             self.settle();
--- a/crates/control/control-plane/tests/replica/snapshots.rs
+++ b/crates/control/control-plane/tests/replica/snapshots.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 /// The state that a disk with these records gives back.
-pub fn restore(records: &[LogRecord]) -> State {
+pub(crate) fn restore(records: &[LogRecord]) -> State {
     let mut state = State::default();
     for record in records {
         if let Some((slot, encoded)) = &record.snapshot {
--- a/crates/control/distribution/src/transfer.rs
+++ b/crates/control/distribution/src/transfer.rs
@@ -226,11 +226,13 @@
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use serde_bytes::ByteBuf;
 
-    pub fn serialize<T: Serialize, S: Serializer>(list: &Vec<T>, to: S) -> Result<S::Ok, S::Error> {
+    pub(crate) fn serialize<T: Serialize, S: Serializer>(list: &Vec<T>, to: S) -> Result<S::Ok, S::Error> {
         ByteBuf::from(if list.is_empty() { Vec::new() } else { compress(&encode(list)) }).serialize(to)
     }
 
-    pub fn deserialize<'de, T: DeserializeOwned, D: Deserializer<'de>>(from: D) -> Result<Vec<T>, D::Error> {
+    pub(crate) fn deserialize<'de, T: DeserializeOwned, D: Deserializer<'de>>(
+        from: D,
+    ) -> Result<Vec<T>, D::Error> {
         let compressed = ByteBuf::deserialize(from)?;
         if compressed.is_empty() {
             return Ok(Vec::new());
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -8,13 +8,13 @@
 use limeway_service_registry::{Phase, ServerReport};
 use std::net::SocketAddrV4;
 
-pub fn presence(node: u32) -> MemberHeartbeat {
+pub(crate) fn presence(node: u32) -> MemberHeartbeat {
     let front = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
     MemberHeartbeat { node, frontend: front, zone: "z".into(), ready: true, age: 0 }
 }
 
 /// A poll of one who knows so much of the teller's board.
-pub fn poll(board: &StateCache, epoch: u64, servers: u64, members: u64) -> LongPoll {
+pub(crate) fn poll(board: &StateCache, epoch: u64, servers: u64, members: u64) -> LongPoll {
     LongPoll {
         sender: presence(1),
         downstream: Vec::new(),
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn report(id: u64, count: u64, phase: Phase) -> ServerReport {
+pub(crate) fn report(id: u64, count: u64, phase: Phase) -> ServerReport {
     ServerReport {
         id: format!("i-{id}"),
         service: "s".into(),
@@ -42,7 +42,7 @@
 }
 
 /// Some routes with names that do not compress well: the same ones for the same `seed`.
-pub fn routes(seed: u64, count: u64) -> Vec<u8> {
+pub(crate) fn routes(seed: u64, count: u64) -> Vec<u8> {
     let route = |n: u64| {
         let draw = |salt: u64| limeway_membership::hash(&[seed, n, salt].map(u64::to_le_bytes).concat());
         let spec = format!(
@@ -67,7 +67,7 @@
 }
 
 /// A core machine that is sure at `now`, with so many operations and a big one among them.
-pub fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> StateCache {
+pub(crate) fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> StateCache {
     let mut board = StateCache::new(epoch);
     board.apply_operation(&encode(&seats(machines)));
     if big > 0 {
@@ -78,7 +78,7 @@
 }
 
 /// The operation that seats these machines.
-pub fn seats(machines: &[u32]) -> Operation {
+pub(crate) fn seats(machines: &[u32]) -> Operation {
     let seats = machines.iter().map(|node| limeway_consensus::Voter { node: *node, disk: 0 });
     Operation::SetVoters { voters: seats.collect(), former_voters: Vec::new() }
 }
--- a/crates/control/membership/tests/role_leases.rs
+++ b/crates/control/membership/tests/role_leases.rs
@@ -28,6 +28,7 @@
 }
 
 /// Plays three machines; the most that held one group at one time, and for how many steps one was held at all.
+#[allow(clippy::too_many_lines, reason = "one schedule, read from top to bottom")]
 fn play(seed: u64, forgetful: bool) -> (usize, usize) {
     let mut chance = Chance(seed);
     let mut now: Micros = 1_000_000_000;
--- a/crates/control/routing-config/src/changed_items.rs
+++ b/crates/control/routing-config/src/changed_items.rs
@@ -26,12 +26,12 @@
 
 impl ChangedItems {
     /// Nothing has changed since the snapshot of this version.
-    pub fn none_since(version: Version) -> Self {
+    pub(crate) fn none_since(version: Version) -> Self {
         ChangedItems { since: Some(version), old: BTreeMap::new() }
     }
 
     /// Records an item's specification before a change.
-    pub fn record(&mut self, kind: ItemKind, name: Box<str>, old: Option<Box<str>>) {
+    pub(crate) fn record(&mut self, kind: ItemKind, name: Box<str>, old: Option<Box<str>>) {
         if self.since.is_none() {
             return;
         }
--- a/crates/control/storage/src/file_system.rs
+++ b/crates/control/storage/src/file_system.rs
@@ -109,12 +109,12 @@
 
 impl FileStats {
     /// The disk has refused something: without that, an error means that the file itself is corrupt.
-    pub fn refused(&self) -> bool {
+    pub(crate) fn refused(&self) -> bool {
         self.refused.load(Ordering::Relaxed)
     }
 
     /// The file's size, in bytes.
-    pub fn size(&self) -> u64 {
+    pub(crate) fn size(&self) -> u64 {
         self.size.load(Ordering::Relaxed)
     }
 }
@@ -127,7 +127,7 @@
 }
 
 impl ObservedFile {
-    pub fn new(inner: Box<dyn StorageBackend>) -> (Self, Arc<FileStats>) {
+    pub(crate) fn new(inner: Box<dyn StorageBackend>) -> (Self, Arc<FileStats>) {
         let stats = Arc::new(FileStats::default());
         (ObservedFile { inner, stats: stats.clone() }, stats)
     }
--- a/crates/control/storage/src/format.rs
+++ b/crates/control/storage/src/format.rs
@@ -152,7 +152,7 @@
         match (key.value(), operations.last_mut()) {
             ((slot, 0), _) => operations.push((slot, part.value().to_vec())),
             ((slot, _), Some((last, operation))) if *last == slot => {
-                operation.extend_from_slice(part.value())
+                operation.extend_from_slice(part.value());
             }
             _ => return Err(corrupt("an operation's chunks")),
         }
--- a/crates/control/storage/src/log_extent.rs
+++ b/crates/control/storage/src/log_extent.rs
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// The operations have a gap, or exceed a bound.
-    pub fn new(
+    pub(crate) fn new(
         snapshot: Option<(Slot, usize)>,
         operations: impl IntoIterator<Item = (Slot, usize)>,
     ) -> Result<Self, StorageError> {
@@ -44,17 +44,17 @@
     }
 
     /// The last slot in the log.
-    pub fn end(&self) -> Slot {
+    pub(crate) fn end(&self) -> Slot {
         self.base + self.sizes.len() as Slot
     }
 
     /// Bytes of the snapshot and the operations.
-    pub fn bytes(&self) -> usize {
+    pub(crate) fn bytes(&self) -> usize {
         self.snapshot_bytes + self.bytes
     }
 
     /// A snapshot should be written.
-    pub fn snapshot_due(&self) -> bool {
+    pub(crate) fn snapshot_due(&self) -> bool {
         self.sizes.len() >= SNAPSHOT_AFTER_OPERATIONS
             || self.bytes >= SNAPSHOT_AFTER_BYTES.max(self.snapshot_bytes)
     }
@@ -72,7 +72,7 @@
     }
 
     /// The log after a record. After a failure (`needs_snapshot`) only a record whose snapshot covers the whole log is accepted.
-    pub fn after(&self, record: &LogRecord, needs_snapshot: bool) -> Result<Self, StorageError> {
+    pub(crate) fn after(&self, record: &LogRecord, needs_snapshot: bool) -> Result<Self, StorageError> {
         let mut next = self.clone();
         if needs_snapshot && record.snapshot.is_none() {
             return Err(StorageError::SnapshotRequired);
--- a/crates/control/storage/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -5,11 +5,11 @@
 use serde_bytes::ByteBuf;
 
 /// Whose file it is.
-pub const NODE: u32 = 7;
+pub(crate) const NODE: u32 = 7;
 
 /// What a machine does.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub(crate) enum Step {
     /// It accepts a value for the open slot.
     Accept(u64),
     /// The next slots are chosen and applied.
@@ -22,19 +22,19 @@
 
 /// What a machine holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Picture {
+pub(crate) struct Picture {
     pub life: u64,
     pub end: Slot,
     pub round: u64,
 }
 
 /// The operation of a slot.
-pub fn op(slot: Slot, size: usize) -> Vec<u8> {
+pub(crate) fn op(slot: Slot, size: usize) -> Vec<u8> {
     vec![slot as u8; size]
 }
 
 /// The state of a slot, in so many bytes and eight.
-pub fn state(slot: Slot, size: usize) -> Vec<u8> {
+pub(crate) fn state(slot: Slot, size: usize) -> Vec<u8> {
     [&slot.to_be_bytes()[..], &vec![slot as u8; size]].concat()
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Takes a step, and makes its record; `whole` brings all that the machine holds.
-    pub fn record(&mut self, step: &Step, whole: bool) -> LogRecord {
+    pub(crate) fn record(&mut self, step: &Step, whole: bool) -> LogRecord {
         let before = self.end;
         self.take(step);
         let votes = Acceptor { disk: self.life, applied: self.end, slot_state: self.open() };
@@ -76,7 +76,7 @@
     }
 
     /// Whether what was found makes this picture.
-    pub fn fits(&self, found: &Recovered) -> bool {
+    pub(crate) fn fits(&self, found: &Recovered) -> bool {
         let mut end = 0;
         if let Some((slot, bytes)) = &found.snapshot {
             end = *slot;
@@ -96,7 +96,7 @@
 }
 
 /// The run: each group is written together.
-pub fn groups() -> Vec<Vec<Step>> {
+pub(crate) fn groups() -> Vec<Vec<Step>> {
     use Step::{Accept, Choose, Jump, Snapshot};
     vec![
         vec![Snapshot(2_000)],
@@ -117,7 +117,7 @@
 
 /// Runs the script as a machine does, until its end or until `ended`. Returns the pictures that may be on disk: the last that was
 /// acknowledged, and those since.
-pub fn run(
+pub(crate) fn run(
     vault: &mut StateStore,
     life: u64,
     mut told: impl FnMut(usize),
--- a/crates/control/storage/tests/log/sim.rs
+++ b/crates/control/storage/tests/log/sim.rs
@@ -12,7 +12,7 @@
 
 /// What becomes of changes that were not synced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Loss {
+pub(crate) enum Loss {
     /// The process was killed: all of them are there.
     Killed,
     /// Power was lost, and all of them.
@@ -23,7 +23,7 @@
 
 /// What goes wrong at which steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     None,
     /// The process ends before this step.
     End(usize),
@@ -98,7 +98,7 @@
 
 /// The folder.
 #[derive(Debug, Clone)]
-pub struct Sim(Arc<Mutex<Inner>>);
+pub(crate) struct Sim(Arc<Mutex<Inner>>);
 
 #[derive(Debug)]
 struct Handle(Sim, usize);
@@ -116,7 +116,7 @@
 }
 
 impl Sim {
-    pub fn new(trouble: Trouble) -> Self {
+    pub(crate) fn new(trouble: Trouble) -> Self {
         Sim(Arc::new(Mutex::new(Inner {
             files: Vec::new(),
             names: BTreeMap::new(),
@@ -133,12 +133,12 @@
     }
 
     /// Steps so far.
-    pub fn steps(&self) -> usize {
+    pub(crate) fn steps(&self) -> usize {
         self.inner().steps
     }
 
     /// The file in use, made if it is not there.
-    pub fn file(&self) -> impl StorageBackend {
+    pub(crate) fn file(&self) -> impl StorageBackend {
         let mut inner = self.inner();
         inner.files.push(Content::default());
         inner.names.insert(FileName::Primary, 0);
@@ -147,17 +147,17 @@
     }
 
     /// Whether a spoilt file was kept.
-    pub fn aside(&self) -> bool {
+    pub(crate) fn aside(&self) -> bool {
         self.inner().names.contains_key(&FileName::Quarantined)
     }
 
     /// Whether the process has ended.
-    pub fn ended(&self) -> bool {
+    pub(crate) fn ended(&self) -> bool {
         self.inner().ended
     }
 
     /// The folder as the next process finds it.
-    pub fn after(&self, loss: Loss, trouble: Trouble) -> Sim {
+    pub(crate) fn after(&self, loss: Loss, trouble: Trouble) -> Sim {
         let inner = self.inner();
         let mut dice = Dice(match loss {
             Loss::Some(seed) => seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
--- a/crates/data/load-balancing/src/server_state.rs
+++ b/crates/data/load-balancing/src/server_state.rs
@@ -46,19 +46,19 @@
 
 impl ServerState {
     /// Whether it should get nothing: it is ejected, probed, or stuck.
-    pub fn is_ejected(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         let stuck_after = f64::max(STUCK_AFTER as f64, STUCK_LATENCY_FACTOR * self.mean_latency) as Micros;
         let is_stuck = self.outstanding > 0 && now.saturating_sub(self.silent_since) > stuck_after;
         now < self.ejected_until || (self.failures > 0 && self.probing) || is_stuck
     }
 
     /// Whether it said lately that it is full.
-    pub fn is_full(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_full(&self, now: Timestamp) -> bool {
         now < self.full_until
     }
 
     /// Whether a request may be sent to it during slow start, at `rate` requests a second.
-    pub fn has_slow_start_token(&mut self, now: Timestamp, rate: f64) -> bool {
+    pub(crate) fn has_slow_start_token(&mut self, now: Timestamp, rate: f64) -> bool {
         if self.tokens_updated == 0 {
             self.tokens_updated = now;
         }
@@ -69,7 +69,7 @@
     }
 
     /// A request is sent to it.
-    pub fn sent(&mut self, now: Timestamp, in_slow_start: bool) {
+    pub(crate) fn sent(&mut self, now: Timestamp, in_slow_start: bool) {
         if self.outstanding == 0 {
             self.silent_since = now;
         }
@@ -82,7 +82,7 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Timestamp, outcome: Outcome) {
+    pub(crate) fn ended(&mut self, now: Timestamp, outcome: Outcome) {
         self.outstanding = self.outstanding.saturating_sub(1);
         self.probing = false;
         match outcome {
--- a/crates/data/quota/src/shard_link.rs
+++ b/crates/data/quota/src/shard_link.rs
@@ -36,18 +36,18 @@
 
 impl ShardLink {
     /// Whether the counter may be asked now.
-    pub fn may_send(&self, now: Timestamp) -> bool {
+    pub(crate) fn may_send(&self, now: Timestamp) -> bool {
         let is_free = self.exclusive.is_none_or(|request| now >= request.sent + REQUEST_TIMEOUT);
         self.holder.is_some() && self.pacer.may_send(now) && (self.blocks_reported || is_free)
     }
 
-    pub fn set_unavailable(&mut self, now: Timestamp, reason: UnavailableReason) {
+    pub(crate) fn set_unavailable(&mut self, now: Timestamp, reason: UnavailableReason) {
         let since = self.unavailable.map_or(now, |unavailable| unavailable.since);
         self.unavailable = Some(Unavailable { reason, since });
     }
 
     /// Takes who holds the counter now. Another holder ends the backoff.
-    pub fn set_holder(&mut self, now: Timestamp, holder: Option<Holder>) {
+    pub(crate) fn set_holder(&mut self, now: Timestamp, holder: Option<Holder>) {
         if self.holder != holder {
             let mut pacer = self.pacer;
             pacer.succeeded();
@@ -61,7 +61,7 @@
     }
 
     /// A request is sent. Until the counter knows what is held here, nothing is sent beside it.
-    pub fn request_sent(&mut self, now: Timestamp, number: RequestNumber, reports_blocks: bool) {
+    pub(crate) fn request_sent(&mut self, now: Timestamp, number: RequestNumber, reports_blocks: bool) {
         self.pacer.sent(now);
         if reports_blocks {
             self.last_report = number;
@@ -72,7 +72,7 @@
     }
 
     /// A request has come to its end.
-    pub fn request_ended(&mut self, number: RequestNumber) {
+    pub(crate) fn request_ended(&mut self, number: RequestNumber) {
         self.exclusive = self.exclusive.filter(|request| request.number != number);
     }
 
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     /// Why it cannot be used.
-    pub fn use_response(
+    pub(crate) fn use_response(
         &mut self,
         escrow: &mut Escrow,
         now: Timestamp,
--- a/crates/data/quota/src/window_clock.rs
+++ b/crates/data/quota/src/window_clock.rs
@@ -13,7 +13,7 @@
 
 impl WindowClock {
     /// The window at this moment.
-    pub fn window(&self, now: Timestamp) -> u64 {
+    pub(crate) fn window(&self, now: Timestamp) -> u64 {
         if now < self.end {
             self.window
         } else {
@@ -22,7 +22,7 @@
     }
 
     /// What is left of the window.
-    pub fn remaining(&self, now: Timestamp) -> Micros {
+    pub(crate) fn remaining(&self, now: Timestamp) -> Micros {
         if now < self.end {
             self.end - now
         } else {
@@ -31,7 +31,7 @@
     }
 
     /// The better of two: of two ends, both never late, the later one is closer to the truth.
-    pub fn closer(self, other: WindowClock) -> WindowClock {
+    pub(crate) fn closer(self, other: WindowClock) -> WindowClock {
         // Ends of different windows are compared as ends of one.
         let ahead = other.window.saturating_sub(self.window) * self.length;
         let behind = self.window.saturating_sub(other.window) * self.length;
--- a/crates/data/quota/tests/bound.rs
+++ b/crates/data/quota/tests/bound.rs
@@ -71,6 +71,7 @@
 
 /// Plays a minute of one tenant at some multiple of its rate. The most that any span of the rule's window let in, and the
 /// share of the tenant's requests that were let in.
+#[allow(clippy::too_many_lines, reason = "one schedule, read from top to bottom")]
 fn play(seed: u64, rate: f64, load: f64, day: Day) -> (u32, f64) {
     let span: WindowBudget = RULE.window_budget(rate, rate).expect("limited");
     let mut chance = Chance(seed);
--- a/crates/data/rpc/tests/chunks.rs
+++ b/crates/data/rpc/tests/chunks.rs
@@ -167,7 +167,7 @@
 
 /// The frames of version 1: a length, the version, a number, CBOR.
 mod one {
-    pub fn write(number: u32, cbor: &[u8]) -> Vec<u8> {
+    pub(crate) fn write(number: u32, cbor: &[u8]) -> Vec<u8> {
         let mut frame = (cbor.len() as u32 + 5).to_be_bytes().to_vec();
         frame.push(1);
         frame.extend_from_slice(&number.to_be_bytes());
@@ -176,7 +176,7 @@
     }
 
     /// As it was read: whether its version was refused.
-    pub fn refuses(from: &[u8]) -> bool {
+    pub(crate) fn refuses(from: &[u8]) -> bool {
         let length = from[..4].iter().fold(0usize, |n, b| n << 8 | usize::from(*b));
         assert!((5..=80 * 1024 * 1024).contains(&length));
         from[4] != 1
--- a/crates/data/settings/src/lib.rs
+++ b/crates/data/settings/src/lib.rs
@@ -208,7 +208,7 @@
                 "config-apply" => bounds.config_apply = long()?,
                 "revoke" => bounds.revoke = long()?,
                 "revocation-strict" => {
-                    bounds.strict = flag(value).ok_or_else(|| wrong(name, "is neither true nor false"))?
+                    bounds.strict = flag(value).ok_or_else(|| wrong(name, "is neither true nor false"))?;
                 }
                 "retry-budget-ratio" => bounds.retry_ratio = figure()?,
                 "retry-window" => bounds.retry_window = long()?,
--- a/crates/gateway/counter-recovery/src/presence.rs
+++ b/crates/gateway/counter-recovery/src/presence.rs
@@ -180,7 +180,7 @@
             }
             // Proven not added: nobody has seen it.
             Answer::Refused if mark.amount > 0.0 && self.marked == Some(mark.slot) => {
-                self.marked = self.before
+                self.marked = self.before;
             }
             Answer::Refused | Answer::Silent => {}
         }
--- a/crates/gateway/gateway/tests/common/mod.rs
+++ b/crates/gateway/gateway/tests/common/mod.rs
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 /// Bound on every wait: far above what a loaded machine needs.
-pub const LONG: Duration = Duration::from_secs(20);
+pub(crate) const LONG: Duration = Duration::from_secs(20);
 
 /// A request or an answer as it was read.
 #[derive(Debug, Clone)]
-pub struct Message {
+pub(crate) struct Message {
     /// First line.
     pub line: String,
     /// Header lines.
@@ -28,18 +28,18 @@
 
 impl Message {
     /// Value of a header, by its name in lower case.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
     /// Status of an answer.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
 }
 
 /// Reads one message; nothing at the end of the connection.
-pub fn read(from: &mut impl BufRead) -> Option<Message> {
+pub(crate) fn read(from: &mut impl BufRead) -> Option<Message> {
     let mut line = String::new();
     if from.read_line(&mut line).ok()? == 0 {
         return None;
@@ -62,16 +62,16 @@
 }
 
 /// What a server does with a request.
-pub type Serve = dyn Fn(usize, &Message, &mut TcpStream) + Send + Sync;
+pub(crate) type Serve = dyn Fn(usize, &Message, &mut TcpStream) + Send + Sync;
 
 /// A stand-in that listens; it passes on each request that it gets.
-pub struct Server {
+pub(crate) struct Server {
     pub address: SocketAddr,
     pub requests: Receiver<(usize, Message)>,
 }
 
 /// Starts a stand-in; `serve` gets the number of the connection, the request and the stream.
-pub fn server(serve: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static) -> Server {
+pub(crate) fn server(serve: impl Fn(usize, &Message, &mut TcpStream) + Send + Sync + 'static) -> Server {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let (tell, requests) = channel();
@@ -95,17 +95,17 @@
 }
 
 /// Writes an answer with a body.
-pub fn reply(stream: &mut TcpStream, head: &str, body: &str) {
+pub(crate) fn reply(stream: &mut TcpStream, head: &str, body: &str) {
     let _ = write!(stream, "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
 }
 
 /// Ends a connection in both directions, for all handles to it.
-pub fn hang_up(stream: &TcpStream) {
+pub(crate) fn hang_up(stream: &TcpStream) {
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
 /// A counter that adds up each name.
-pub fn counter() -> Server {
+pub(crate) fn counter() -> Server {
     let totals = Mutex::new(std::collections::HashMap::<String, f64>::new());
     server(move |_, message, stream| {
         let target = message.line.split(' ').nth(1).expect("a target");
@@ -122,19 +122,19 @@
 }
 
 /// An entry of discovery's list.
-pub fn entry(host: &str, dial: SocketAddr, health: &str) -> String {
+pub(crate) fn entry(host: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"a","class":"m","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// A list for discovery.
-pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
+pub(crate) fn list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
 /// Discovery that gives a whole list; what is sent through the channel answers a watch.
-pub fn discovery(whole: String) -> (Server, Sender<String>) {
+pub(crate) fn discovery(whole: String) -> (Server, Sender<String>) {
     let (news, pending) = channel::<String>();
     let pending = Mutex::new(pending);
     let served = server(move |_, message, stream| {
@@ -153,7 +153,7 @@
 
 /// A loopback address that no other test and no other process uses: its ports are free and stay so until
 /// whoever is told of one binds it.
-pub fn own_ip() -> Ipv4Addr {
+pub(crate) fn own_ip() -> Ipv4Addr {
     static NUMBER: AtomicUsize = AtomicUsize::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -161,12 +161,12 @@
 }
 
 /// A port at which nobody listens, for the limiter to bind or to be refused by.
-pub fn free_port() -> SocketAddr {
+pub(crate) fn free_port() -> SocketAddr {
     TcpListener::bind((own_ip(), 0)).and_then(|l| l.local_addr()).expect("a port")
 }
 
 /// A limiter to be started.
-pub struct Setup {
+pub(crate) struct Setup {
     pub servers: Vec<(String, SocketAddr)>,
     pub discovery: Option<SocketAddr>,
     pub counter: SocketAddr,
@@ -177,7 +177,7 @@
 
 impl Setup {
     /// A limiter of two, with these servers.
-    pub fn new(servers: &[&Server], counter: &Server) -> Self {
+    pub(crate) fn new(servers: &[&Server], counter: &Server) -> Self {
         let servers = servers.iter().enumerate().map(|(n, s)| (format!("s-{n}"), s.address)).collect();
         Setup {
             servers,
@@ -190,7 +190,7 @@
     }
 
     /// The configuration as JSON.
-    pub fn json(&self, listen: SocketAddr, discovery: SocketAddr, peers: &[SocketAddr]) -> String {
+    pub(crate) fn json(&self, listen: SocketAddr, discovery: SocketAddr, peers: &[SocketAddr]) -> String {
         let entries: Vec<String> = self.servers.iter().map(|(h, a)| entry(h, *a, "SERVING")).collect();
         let known = list(1, true, &entries);
         let peers: Vec<String> = peers.iter().map(|p| format!("\"{p}\"")).collect();
@@ -218,7 +218,7 @@
     }
 
     /// Starts the limiter and waits until it is ready.
-    pub fn start(&self) -> Limiter {
+    pub(crate) fn start(&self) -> Limiter {
         let (own, other) = (udp(), udp());
         let peers = [own.local_addr().expect("an address"), other.local_addr().expect("an address")];
         drop(own);
@@ -249,7 +249,7 @@
 }
 
 /// Puts a configuration into a file of its own.
-pub fn place(config: &str) -> PathBuf {
+pub(crate) fn place(config: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("limeway-{}-{number}.json", std::process::id()));
@@ -258,12 +258,12 @@
 }
 
 /// Starts the program with a configuration, which it gets as a file.
-pub fn spawn(config: &str) -> Child {
+pub(crate) fn spawn(config: &str) -> Child {
     command().env("ROUTER_CONFIG", place(config)).spawn().expect("the limiter starts")
 }
 
 /// The program, with nothing of the test's own environment that it would read.
-pub fn command() -> Command {
+pub(crate) fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_limeway"));
     for name in ["ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONFIG", "LIMEWAY_OPERATOR"] {
         command.env_remove(name);
@@ -273,7 +273,7 @@
 }
 
 /// Waits for the end of a process, within bounds, and gives what it wrote.
-pub fn end_of(mut child: Child) -> Output {
+pub(crate) fn end_of(mut child: Child) -> Output {
     let end = Instant::now() + LONG;
     while child.try_wait().expect("a child").is_none() {
         if Instant::now() > end {
@@ -285,7 +285,7 @@
 }
 
 /// A running limiter.
-pub struct Limiter {
+pub(crate) struct Limiter {
     pub child: Child,
     /// The configuration that it was started with, and the file that holds it.
     pub config: String,
@@ -314,7 +314,7 @@
     }
 
     /// A client's connection.
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         Client::over(TcpStream::connect(self.address).expect("a connection"))
     }
 
@@ -324,12 +324,12 @@
     }
 
     /// Asks it to end.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         self.signal("-TERM");
     }
 
     /// Replaces its configuration and tells it so.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         let new = self.path.with_extension("new");
         std::fs::write(&new, config).expect("the configuration is written");
         std::fs::rename(&new, &self.path).expect("it is put in place");
@@ -337,7 +337,7 @@
     }
 
     /// Waits for its end.
-    pub fn wait(&mut self) -> ExitStatus {
+    pub(crate) fn wait(&mut self) -> ExitStatus {
         let end = Instant::now() + LONG;
         while Instant::now() < end {
             if let Some(status) = self.child.try_wait().expect("a child") {
@@ -349,7 +349,7 @@
     }
 
     /// Whether it still answers.
-    pub fn alive(&self) -> bool {
+    pub(crate) fn alive(&self) -> bool {
         let mut client = self.client();
         client.write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
         client.read().is_some_and(|a| a.status() == 200)
@@ -364,7 +364,7 @@
 }
 
 /// A client's connection.
-pub struct Client {
+pub(crate) struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
@@ -378,24 +378,24 @@
     }
 
     /// Writes bytes as they are; the other side may have closed.
-    pub fn write(&mut self, text: &str) {
+    pub(crate) fn write(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
     /// Reads an answer; nothing where the connection ends.
-    pub fn read(&mut self) -> Option<Message> {
+    pub(crate) fn read(&mut self) -> Option<Message> {
         read(&mut self.reader)
     }
 
     /// Sends a request and reads its answer.
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub(crate) fn ask(&mut self, request: &str) -> Message {
         self.write(request);
         self.read().expect("an answer")
     }
 }
 
 /// A request for customer 0xb4d65521 of a class, as a client sends it.
-pub fn request(class: &str, id: &str, plan: &str, deadline_ms: u64) -> String {
+pub(crate) fn request(class: &str, id: &str, plan: &str, deadline_ms: u64) -> String {
     let (method, more) = match class {
         "look" => ("GET", ""),
         "book" => ("POST", "Idempotency-Key: 5c0f\r\nContent-Length: 5\r\n"),
--- a/crates/gateway/quota-policy/src/rules.rs
+++ b/crates/gateway/quota-policy/src/rules.rs
@@ -180,7 +180,7 @@
             Event::Started { id, attempt } => self.on_started(id, attempt, out),
             Event::Gone { id } => self.close(id, out),
             Event::Counted { name, status, total, latency } => {
-                self.on_counted(name, status, total, latency, out)
+                self.on_counted(name, status, total, latency, out);
             }
             Event::Peer { from, data } => self.on_peer(from, &data, out),
             Event::Probed { .. } => {}
--- a/crates/gateway/quota-policy/src/state.rs
+++ b/crates/gateway/quota-policy/src/state.rs
@@ -85,24 +85,24 @@
 
 impl Customer {
     /// What is known of the use of a window.
-    pub fn used(&self, key: u64, window: u64) -> Use {
+    pub(crate) fn used(&self, key: u64, window: u64) -> Use {
         let begins = (window * self.length).saturating_sub(self.phase);
         Use { key, window, begins, budget: self.budget, used: self.total }
     }
 
     /// The number and the end of its window at this time.
-    pub fn window_at(&self, now: Micros) -> (u64, Micros) {
+    pub(crate) fn window_at(&self, now: Micros) -> (u64, Micros) {
         let window = (now + self.phase) / self.length;
         (window, (window + 1) * self.length - self.phase)
     }
 
     /// Units that wait.
-    pub fn wanted(&self) -> f64 {
+    pub(crate) fn wanted(&self) -> f64 {
         self.waiting.iter().map(|w| w.units).sum()
     }
 
     /// Units of escrow held for a window.
-    pub fn held(&self, window: u64) -> f64 {
+    pub(crate) fn held(&self, window: u64) -> f64 {
         self.escrow.get(&window).copied().unwrap_or(0.0)
     }
 }
@@ -212,7 +212,7 @@
 
 impl Message {
     /// The bytes of a message: its kind, the customer, and what follows.
-    pub fn encode(self) -> Vec<u8> {
+    pub(crate) fn encode(self) -> Vec<u8> {
         let (kind, customer, rest) = match self {
             Message::Ask { customer, plan, doors, units } => {
                 let mut rest = units.to_le_bytes().to_vec();
@@ -231,7 +231,7 @@
     }
 
     /// Reads a message; nothing where the bytes are none.
-    pub fn decode(bytes: &[u8]) -> Option<Self> {
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let customer = u64::from_le_bytes(bytes.get(1..9)?.try_into().ok()?);
         let figure: [u8; 4] = bytes.get(9..13)?.try_into().ok()?;
         let units = f32::from_le_bytes(figure);
--- a/crates/gateway/quota-policy/tests/common/mod.rs
+++ b/crates/gateway/quota-policy/tests/common/mod.rs
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-pub const MS: Micros = 1_000;
-pub const S: Micros = 1_000_000;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect, scope: Scope) -> Class {
+pub(crate) fn class(effect: Effect, scope: Scope) -> Class {
     Class { aim: S, effect, scope, window: 4 * S, worth: 1.0 }
 }
 
-pub fn plan(rate: f64, burst: f64) -> Plan {
+pub(crate) fn plan(rate: f64, burst: f64) -> Plan {
     Plan { rate, burst, open: 0.0, price: 1.0, ceiling_rate: 0.0, ceiling_burst: 0.0, ceiling_slack: 0.0 }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         gateways: 2,
         me: 0,
@@ -50,20 +50,20 @@
     }
 }
 
-pub fn entry(server: ServerId) -> Entry {
+pub(crate) fn entry(server: ServerId) -> Entry {
     Entry { server, zone: server % 2, cell: 0, state: Lifecycle::Ready, weight: 1.0, started: 0 }
 }
 
 /// How the counter of a script behaves.
 #[derive(Clone, Copy, PartialEq)]
-pub enum CounterMode {
+pub(crate) enum CounterMode {
     Answers,
     Silent,
     Refuses,
 }
 
 /// One gateway, its timers, its counter, and all it has asked for.
-pub struct Host {
+pub(crate) struct Host {
     pub gateway: Gateway,
     pub now: Micros,
     pub timers: Vec<Micros>,
@@ -84,11 +84,11 @@
 }
 
 impl Host {
-    pub fn new(settings: Settings, servers: usize) -> Self {
+    pub(crate) fn new(settings: Settings, servers: usize) -> Self {
         Host::seeded(settings, servers, 11)
     }
 
-    pub fn seeded(settings: Settings, servers: usize, seed: u64) -> Self {
+    pub(crate) fn seeded(settings: Settings, servers: usize, seed: u64) -> Self {
         let now = 100 * S;
         let others = if settings.gateways <= 20 { (1 << settings.gateways) - 1 } else { settings.gateways };
         let mut host = Host {
@@ -111,11 +111,11 @@
         host
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
+    pub(crate) fn list(&mut self, kind: ListKind, entries: Vec<Entry>) {
         self.give(Event::Servers { kind, entries });
     }
 
-    pub fn give(&mut self, event: Event) {
+    pub(crate) fn give(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         for action in actions {
@@ -164,24 +164,24 @@
     }
 
     /// Whether a count is one on which gateways show themselves.
-    pub fn shows(&self, name: u64) -> bool {
+    pub(crate) fn shows(&self, name: u64) -> bool {
         let slot = self.now / self.slot;
         (slot - 1..=slot).any(|slot| presence_name(slot) == name)
     }
 
-    pub fn ask(&mut self, id: RequestId, class: usize, plan: usize, left: Micros) {
+    pub(crate) fn ask(&mut self, id: RequestId, class: usize, plan: usize, left: Micros) {
         let customer = "choir".to_owned();
         self.give(Event::Request(Demand { id, class, plan, customer, left, units: 1.0, doors: 2, first: 0 }));
     }
 
-    pub fn done(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) {
+    pub(crate) fn done(&mut self, id: RequestId, attempt: u32, server: ServerId, status: Status) {
         let (closed, load) = (status == Status::Ok, Load::default());
         let latency = 100 * MS;
         self.give(Event::Outcome(Outcome { id, attempt, server, status, latency, closed, load }));
     }
 
     /// Lets time pass: timers and answers of the counter come when they are due.
-    pub fn run(&mut self, until: Micros) {
+    pub(crate) fn run(&mut self, until: Micros) {
         loop {
             let timer = self.timers.iter().copied().min().unwrap_or(Micros::MAX);
             let event = self.pending.iter().map(|p| p.0).min().unwrap_or(Micros::MAX);
@@ -203,23 +203,23 @@
         self.now = until;
     }
 
-    pub fn wait(&mut self, time: Micros) {
+    pub(crate) fn wait(&mut self, time: Micros) {
         self.run(self.now + time);
     }
 
-    pub fn sent(&self, id: RequestId) -> Vec<ServerId> {
+    pub(crate) fn sent(&self, id: RequestId) -> Vec<ServerId> {
         self.sends.iter().filter(|s| s.1 == id).map(|s| s.3).collect()
     }
 
-    pub fn answer(&self, id: RequestId) -> Option<&Action> {
+    pub(crate) fn answer(&self, id: RequestId) -> Option<&Action> {
         self.answers.iter().find(|a| a.0 == id).map(|a| &a.1)
     }
 
-    pub fn refused(&self, id: RequestId) -> bool {
+    pub(crate) fn refused(&self, id: RequestId) -> bool {
         matches!(self.answer(id), Some(Action::Refuse { .. }))
     }
 
-    pub fn failed(&self, id: RequestId) -> bool {
+    pub(crate) fn failed(&self, id: RequestId) -> bool {
         matches!(self.answer(id), Some(Action::Fail { .. }))
     }
 }
--- a/crates/gateway/simulator-adapter/src/wire.rs
+++ b/crates/gateway/simulator-adapter/src/wire.rs
@@ -29,7 +29,7 @@
 
 /// All instances of this process, and the batch being read.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     now: Micros,
     in_batch: bool,
     instances: HashMap<String, Instance>,
@@ -234,7 +234,7 @@
 
 impl Host {
     /// Takes one line; gives the reply once a batch is complete.
-    pub fn line(&mut self, line: &str) -> Parsed<Option<String>> {
+    pub(crate) fn line(&mut self, line: &str) -> Parsed<Option<String>> {
         let mut w = Words(line.trim_end_matches('\r'));
         let kind = w.word("message")?;
         if let Some((number, left, mut list)) = self.reading.take() {
--- a/crates/testing/checker/src/run.rs
+++ b/crates/testing/checker/src/run.rs
@@ -275,7 +275,7 @@
                         cold_from,
                         cold_us,
                         fell: false,
-                    })
+                    });
                 }
                 Record::NodeEnd { t, node, fell } => node_ends.push((t, node, fell)),
                 Record::Limiter { t, limiter, change } => changes.push((limiter, t, change)),
--- a/crates/testing/load-generator/src/main.rs
+++ b/crates/testing/load-generator/src/main.rs
@@ -33,6 +33,9 @@
                 optional --edges edges: usize
                 /// Kill a limiter and a core machine in the middle, and start them again 3 s later.
                 optional --kill
+                /// A rolling upgrade in the middle: all machines are restarted in turn with this program, and the configuration
+                /// is changed beside it.
+                optional --upgrade-to path: PathBuf
                 /// The same seed draws the same arrivals (1).
                 optional --seed seed: u64
                 /// The program to start; else it is built.
@@ -129,6 +132,9 @@
     }
 }
 
+/// Pause between the restarts of a rolling upgrade: members' leases and votes have to be known again.
+const RESTART_INTERVAL: Duration = Duration::from_millis(2_500);
+
 /// The program to start: the one that is named, or a fresh build.
 fn program(named: Option<PathBuf>) -> io::Result<PathBuf> {
     if let Some(path) = named {
@@ -206,6 +212,11 @@
         system.run(core, false)?;
         system.run(edge, false)?;
     }
+    if let Some(new_program) = flags.upgrade_to {
+        sleep(Duration::from_secs(seconds / 6)).await;
+        system.program = new_program;
+        roll(&mut system).await?;
+    }
     for one in load {
         one.await.map_err(io::Error::other)?;
     }
@@ -216,6 +227,22 @@
     Ok(())
 }
 
+/// Restarts all machines in turn, and changes the configuration after each.
+async fn roll(system: &mut System) -> io::Result<()> {
+    for at in 0..system.machines.len() {
+        system.kill(at).await?;
+        system.run(at, false)?;
+        sleep(RESTART_INTERVAL).await;
+        let (base, version) = (at + 1, at + 2);
+        let update = format!(
+            "{{\"config-version\":\"{version:08x}\",\"base-version\":\"{base:08x}\",\"upsert\":{{\"resource-list\":[{{\"resource-kind\":\"services\",\"metadata\":{{\"name\":\"spare-{at}\"}},\"specification\":{{}}}}]}}}}"
+        );
+        system.order("config.update", &update).await?;
+        println!("        machine {at} runs the new program; configuration {version} is acknowledged");
+    }
+    Ok(())
+}
+
 async fn load(flags: Load) -> io::Result<()> {
     let directory: SocketAddr = flags.directory.parse().map_err(io::Error::other)?;
     let (region, zone) =
--- a/crates/testing/load-generator/src/system.rs
+++ b/crates/testing/load-generator/src/system.rs
@@ -42,7 +42,8 @@
 
 /// The system.
 pub struct System {
-    program: PathBuf,
+    /// The program that machines are started with.
+    pub program: PathBuf,
     folder: PathBuf,
     /// Core machines, then limiters.
     pub machines: Vec<Machine>,
--- a/crates/testing/rehearsal/tests/common/mod.rs
+++ b/crates/testing/rehearsal/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The daemon, built once from this checkout.
-pub fn limeway() -> PathBuf {
+pub(crate) fn limeway() -> PathBuf {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     let build = || {
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -22,12 +22,12 @@
 }
 
 /// A small scenario: two limiters, six quick nodes, and a timeline.
-pub fn small(seconds: f64, events: &str) -> Scenario {
+pub(crate) fn small(seconds: f64, events: &str) -> Scenario {
     small_with(2, seconds, events)
 }
 
 /// The same with another number of limiters.
-pub fn small_with(limiters: u32, seconds: f64, events: &str) -> Scenario {
+pub(crate) fn small_with(limiters: u32, seconds: f64, events: &str) -> Scenario {
     let text = format!(
         "name = \"small\"\nseconds = {seconds}\n\
          [fleet]\nlimiters = {limiters}\nnodes = 6\nrooms = 2\ncold_from = 0.2\ncold_seconds = 5\nerror_share = 0\n\
@@ -45,7 +45,7 @@
 }
 
 /// Plays a scenario with a program.
-pub fn play_until(
+pub(crate) fn play_until(
     scenario: &Scenario,
     program: PathBuf,
     stop: impl Future<Output = ()>,
@@ -64,13 +64,13 @@
 }
 
 /// Plays a scenario to its end and judges the ledger as it would be read from a file.
-pub fn verdict(scenario: &Scenario, program: PathBuf) -> Verdict {
+pub(crate) fn verdict(scenario: &Scenario, program: PathBuf) -> Verdict {
     let played = play_until(scenario, program, std::future::pending()).expect("it can be played");
     let lines: Vec<String> = played.ledger().collect();
     judge(lines.iter().map(String::as_str)).expect("a ledger")
 }
 
 /// Rules that were broken.
-pub fn broken(verdict: &Verdict) -> Vec<usize> {
+pub(crate) fn broken(verdict: &Verdict) -> Vec<usize> {
     verdict.rules.iter().filter(|r| r.broken > 0).map(|r| r.rule).collect()
 }
--- a/crates/testing/scenario/src/draw.rs
+++ b/crates/testing/scenario/src/draw.rs
@@ -9,9 +9,9 @@
 use std::collections::HashSet;
 
 /// Most first tries of a day: what the kit's memory bears.
-pub const MAX_ARRIVALS: usize = 5_000_000;
+pub(crate) const MAX_ARRIVALS: usize = 5_000_000;
 /// Most customers of a day.
-pub const MAX_CUSTOMERS: usize = 200_000;
+pub(crate) const MAX_CUSTOMERS: usize = 200_000;
 /// What a customer that uses nearly all asks for, as a share of its rate.
 const FULL_USE: (f64, f64) = (0.88, 0.98);
 /// Longest single piece of work, as a multiple of its class's mean: a tail without end would make a day of few.
--- a/crates/testing/simulation/src/cluster.rs
+++ b/crates/testing/simulation/src/cluster.rs
@@ -188,7 +188,7 @@
                 }
             }
             SimEvent::Answer(Origin::Limiter(limiter, number), reply) => {
-                self.poll_answered(limiter, number, reply)
+                self.poll_answered(limiter, number, reply);
             }
             SimEvent::Disk(at, incarnation) => self.disk_ends(at, incarnation),
             SimEvent::Start(at) => self.start(at),
@@ -290,7 +290,7 @@
         for action in out {
             match action {
                 Action::Send { request: ticket, to, call, timeout: wait } => {
-                    self.send(at, (incarnation, ticket), to, call, wait)
+                    self.send(at, (incarnation, ticket), to, call, wait);
                 }
                 Action::Reply(caller, reply) => self.reply(at, caller, reply),
                 Action::Respond(caller, told) => match self.api_callers.remove(&caller) {
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -60,7 +60,7 @@
                 self.push(self.t, SimEvent::Leave(*who));
             }
             Fault::Cut { .. } => {
-                self.links(&fault).into_iter().for_each(|(a, b)| self.network.partition(a, b))
+                self.links(&fault).into_iter().for_each(|(a, b)| self.network.partition(a, b));
             }
             Fault::Freeze(who) => self.machines[*who].frozen = until,
             Fault::Slow(who) => {
--- a/crates/testing/simulation/src/workload.rs
+++ b/crates/testing/simulation/src/workload.rs
@@ -160,7 +160,7 @@
                 }
             }
             Some(ApiResponse::Document(text)) => {
-                *known = (*known).max(crate::invariants::version(&text).unwrap_or(0))
+                *known = (*known).max(crate::invariants::version(&text).unwrap_or(0));
             }
             // Someone else was first, or it is wrong: what is in place is read before the next.
             Some(ApiResponse::VersionConflict | ApiResponse::Invalid(_)) => {
--- a/crates/testing/test-services/src/serve.rs
+++ b/crates/testing/test-services/src/serve.rs
@@ -24,7 +24,7 @@
 const REST: Duration = Duration::from_millis(5);
 
 /// Listens at an address; port 0 for any.
-pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+pub(crate) fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
@@ -32,13 +32,13 @@
 }
 
 /// Waits until a watched value is so; also when nobody can change it any more.
-pub async fn until<T>(watched: &mut watch::Receiver<T>, is: impl FnMut(&T) -> bool) {
+pub(crate) async fn until<T>(watched: &mut watch::Receiver<T>, is: impl FnMut(&T) -> bool) {
     let _ = watched.wait_for(is).await;
 }
 
 /// How connections are held.
 #[derive(Clone)]
-pub struct Hold {
+pub(crate) struct Hold {
     /// At most so many at once, over all listeners that share the count; further ones are closed at once.
     pub most: usize,
     /// Those that are open.
@@ -50,7 +50,7 @@
 }
 
 /// A request with what its connection knows.
-pub struct Asked {
+pub(crate) struct Asked {
     /// The request.
     pub request: Request<Incoming>,
     /// By its bytes.
@@ -67,7 +67,7 @@
 
 /// Serves a listener until `hold.end`. `opened` hears of each connection that is taken, `answer` of each request; its
 /// future is dropped as soon as the caller closes.
-pub async fn serve<A, F>(
+pub(crate) async fn serve<A, F>(
     listener: TcpListener,
     link: Link,
     hold: Hold,
