--- a/crates/balancer/src/control_api/mod.rs
+++ b/crates/balancer/src/control_api/mod.rs
@@ -3,6 +3,7 @@
 mod calls;
 mod server_report;
 
+use crate::accept::{accept_connections, AcceptLimits};
 use crate::clock::now;
 use crate::directory::{self, query};
 use crate::replica::Replica;
@@ -13,21 +14,19 @@
 use limeway_routing_config::ConfigUpdate;
 use limeway_types::{Micros, Timestamp};
 use miniserde::json;
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Upper bound on the connections of callers.
-const MAX_CONNECTIONS: usize = 1_500;
+/// Bounds on the connections of callers.
+const ACCEPT_LIMITS: AcceptLimits =
+    AcceptLimits { max_connections: 1_500, retry_delay: Duration::from_millis(20) };
 /// Upper bound on a name in a call, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 /// How long a call may take to arrive.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a connection may stay idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// A caller waits a second for a response: one that closes its connection sooner than this has taken it.
 const CALLER_PATIENCE: Micros = 850_000;
 
@@ -62,22 +61,8 @@
 
 /// Takes calls for ever.
 pub async fn listen(replica: Rc<Replica>, listener: TcpListener) {
-    let count = Rc::new(Cell::new(0usize));
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
-            continue;
-        };
-        if count.get() >= MAX_CONNECTIONS {
-            continue;
-        }
-        let counted = limeway_http1::conn::Counted::new(&count);
-        let replica = replica.clone();
-        tokio::task::spawn_local(async move {
-            let _counted = counted;
-            serve(replica, Inbound::new(stream)).await;
-        });
-    }
+    accept_connections(listener, ACCEPT_LIMITS, |stream, _| serve(replica.clone(), Inbound::new(stream)))
+        .await;
 }
 
 async fn serve(replica: Rc<Replica>, mut inbound: Inbound) {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -14,6 +14,7 @@
 //! can run in one process for runs at a size that one machine could not hold otherwise.
 #![forbid(unsafe_code)]
 
+mod accept;
 pub mod clock;
 pub mod control_api;
 mod directory;
--- a/crates/balancer/src/readiness.rs
+++ b/crates/balancer/src/readiness.rs
@@ -1,46 +1,29 @@
 //! The readiness probe of the platform, and the directory that a limiter serves to clients.
 
+use crate::accept::{accept_connections, AcceptLimits};
 use crate::gateway::Gateway;
-use limeway_http1::conn::Counted;
 use limeway_http1::http;
 use limeway_http1::inbound::{Bounds, Inbound};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::time::sleep;
 
-/// Upper bound on the connections.
-const MAX_CONNECTIONS: usize = 400;
+/// Bounds on the connections.
+const ACCEPT_LIMITS: AcceptLimits =
+    AcceptLimits { max_connections: 400, retry_delay: Duration::from_millis(50) };
 /// What a request may be.
 const BOUNDS: Bounds = Bounds { body: 1024, whole: Duration::from_secs(2), idle: Duration::from_secs(5) };
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Answers probes and directory requests for ever.
 pub(crate) async fn listen(gateway: Rc<Gateway>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0usize));
-    loop {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_DELAY).await;
-            continue;
-        };
-        if open.get() >= MAX_CONNECTIONS {
-            continue;
-        }
-        let counted = Counted::new(&open);
-        let gateway = gateway.clone();
-        tokio::task::spawn_local(async move {
-            let _counted = counted;
-            serve(&gateway, Inbound::new(stream)).await;
-        });
-    }
+    accept_connections(listener, ACCEPT_LIMITS, |stream, _| serve(gateway.clone(), Inbound::new(stream)))
+        .await;
 }
 
-async fn serve(gateway: &Gateway, mut inbound: Inbound) {
+async fn serve(gateway: Rc<Gateway>, mut inbound: Inbound) {
     while let Ok(message) = inbound.read(BOUNDS).await {
         let (method, target) = message.line();
-        let (status, body) = answer(gateway, method, target);
+        let (status, body) = answer(&gateway, method, target);
         let close = !message.head.keep_alive;
         let mut out = Vec::new();
         let headers = b"Content-Type: application/json\r\n";
--- a/crates/balancer/src/transport/server.rs
+++ b/crates/balancer/src/transport/server.rs
@@ -1,6 +1,7 @@
 //! The responding side: connections from other processes.
 
 use super::socket::{idle_time, log_protocol_error, read, tune, write};
+use crate::accept::{accept_connections, AcceptLimits};
 use crate::clock;
 use crate::messages::{Call, Reply};
 use bytes::BytesMut;
@@ -16,12 +17,11 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Upper bound on the connections from other processes.
-const MAX_CONNECTIONS: usize = 1_024;
+/// Bounds on the connections from other processes.
+const ACCEPT_LIMITS: AcceptLimits =
+    AcceptLimits { max_connections: 1_024, retry_delay: Duration::from_millis(20) };
 /// An idle connection is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes calls for ever, and has each handled by `handler`.
 pub async fn listen<F, H>(listener: TcpListener, handler: H)
@@ -29,23 +29,11 @@
     F: Future<Output = Reply> + 'static,
     H: Fn(Call) -> F + Clone + 'static,
 {
-    let count = Rc::new(Cell::new(0usize));
-    loop {
-        let Ok((stream, from)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
-            continue;
-        };
-        if count.get() >= MAX_CONNECTIONS {
-            continue;
-        }
+    accept_connections(listener, ACCEPT_LIMITS, |stream, from| {
         tune(&stream);
-        let counted = limeway_http1::conn::Counted::new(&count);
-        let handler = handler.clone();
-        tokio::task::spawn_local(async move {
-            let _counted = counted;
-            Rc::new(InboundConnection::default()).run(stream, from, handler).await;
-        });
-    }
+        Rc::new(InboundConnection::default()).run(stream, from, handler.clone())
+    })
+    .await;
 }
 
 /// One connection from a process.
--- a/crates/balancer/tests/state_writer.rs
+++ b/crates/balancer/tests/state_writer.rs
@@ -94,8 +94,8 @@
     let folder = std::env::temp_dir().join(format!("limeway-disk-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let gate = Gate(Arc::new((Mutex::new(Mode::Goes), Condvar::new())));
-    let (vault, _) = StateStore::open(Gated(Directory::new(&folder), gate.clone()), 7, 42).expect("made");
-    (folder, gate, StateWriter::start(vault).expect("starts"))
+    let (store, _) = StateStore::open(Gated(Directory::new(&folder), gate.clone()), 7, 42).expect("made");
+    (folder, gate, StateWriter::start(store).expect("starts"))
 }
 
 /// The operation of a slot, with the state before it if `whole`.
--- a/crates/balancer/tests/upstream.rs
+++ b/crates/balancer/tests/upstream.rs
@@ -86,7 +86,7 @@
     let server: Rc<str> = Rc::from("i-1");
     let one = |id: &&str| {
         let head = format!("GET /a HTTP/1.1\r\nHost: h\r\nLimeway-Request-Id: {id}\r\n");
-        let parcel = UpstreamRequest {
+        let request = UpstreamRequest {
             head: head.into_bytes(),
             body: Vec::new(),
             id: id.as_bytes().to_vec(),
@@ -94,7 +94,7 @@
         };
         let sent = Cell::new(false);
         let target = ConnectTarget { address, max_connections: 8 };
-        let came = pools.exchange(&server, target, &parcel, now() + 20_000_000, &sent);
+        let came = pools.exchange(&server, target, &request, now() + 20_000_000, &sent);
         let came = match runtime.block_on(async { tokio::time::timeout(SOON, came).await }) {
             Err(_) => Err("late"),
             Ok(UpstreamResult::Response(reply)) => Ok(String::from_utf8_lossy(&reply.body).into_owned()),
@@ -165,12 +165,13 @@
     let Ok(SocketAddr::V4(address)) = closed.local_addr() else { panic!("an address") };
     drop(closed);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let parcel = UpstreamRequest { head: Vec::new(), body: Vec::new(), id: b"a".to_vec(), idempotent: false };
+    let request =
+        UpstreamRequest { head: Vec::new(), body: Vec::new(), id: b"a".to_vec(), idempotent: false };
     let (pools, sent) = (ConnectionPools::new(16), Cell::new(false));
     let came = runtime.block_on(pools.exchange(
         &Rc::from("i-1"),
         ConnectTarget { address, max_connections: 8 },
-        &parcel,
+        &request,
         now() + 5_000_000,
         &sent,
     ));
--- a/crates/control/consensus/tests/exhaustive.rs
+++ b/crates/control/consensus/tests/exhaustive.rs
@@ -1,7 +1,7 @@
-//! Every run, up to a bound, of three seats and one newcomer over three slots: whatever is delivered, late or lost, whichever
-//! disk is lost, and whoever then gets its seat, one slot has one value, and what was chosen is known to a machine.
+//! Every run, up to a bound, of three voters and one newcomer over three slots: whatever is delivered, late or lost, whichever
+//! disk is lost, and whoever then gets its voter, one slot has one value, and what was chosen is known to a machine.
 //!
-//! Each question and each word may arrive at any time, or never; a question that its holder has gone past is dropped. A disk is lost only while no other seat's disk is:
+//! Each question and each word may arrive at any time, or never; a question that its holder has gone past is dropped. A disk is lost only while no other voter's disk is:
 //! within the fault model a lost one counts until its place is agreed and all who sit have applied that.
 
 use limeway_consensus::{
@@ -53,13 +53,13 @@
     lost: usize,
 }
 
-/// A value is a number, and the seats from the next slot on if it changes them: one byte a node, one a life.
-fn value(number: usize, seats: &[Voter]) -> ByteBuf {
-    let pairs = seats.iter().flat_map(|s| [s.node as u8, s.disk as u8]);
+/// A value is a number, and the voters from the next slot on if it changes them: one byte a node, one a life.
+fn value(number: usize, voters: &[Voter]) -> ByteBuf {
+    let pairs = voters.iter().flat_map(|s| [s.node as u8, s.disk as u8]);
     ByteBuf::from(std::iter::once(number as u8 + 1).chain(pairs).collect::<Vec<u8>>())
 }
 
-fn seats(log: &[ByteBuf]) -> Vec<Voter> {
+fn voters(log: &[ByteBuf]) -> Vec<Voter> {
     let last = log.iter().rev().find(|v| v.len() > 1);
     let first = || (0..SEATS as NodeId).map(|node| Voter { node, disk: 0 }).collect();
     let read =
@@ -74,7 +74,7 @@
         World { machines, held: Vec::new(), chosen: BTreeMap::new(), lost: 0 }
     }
 
-    fn seat(&self, at: usize) -> Voter {
+    fn voter(&self, at: usize) -> Voter {
         Voter { node: at as NodeId, disk: self.machines[at].disk.disk }
     }
 
@@ -123,15 +123,15 @@
         self.chosen.iter().any(|(slot, values)| values.len() > 1 || values.iter().any(|v| !known(*slot, v)))
     }
 
-    /// All seats are held, and all who sit have applied what is newest.
+    /// All voters are held, and all who sit have applied what is newest.
     fn whole(&self) -> bool {
         let longest = self.machines.iter().map(|m| m.log.len()).max().unwrap_or(0);
-        let newest = self.machines.iter().find(|m| m.log.len() == longest).map(|m| seats(&m.log));
+        let newest = self.machines.iter().find(|m| m.log.len() == longest).map(|m| voters(&m.log));
         let fine = |s: &Voter| {
             let machine = &self.machines[s.node as usize];
             machine.disk.disk == s.disk && machine.log.len() == longest
         };
-        newest.is_some_and(|seats| seats.iter().all(fine)) && self.lost_since(longest)
+        newest.is_some_and(|voters| voters.iter().all(fine)) && self.lost_since(longest)
     }
 
     /// Every slot that is chosen is applied somewhere.
@@ -183,16 +183,16 @@
 
     fn begin(&self, at: usize, all: &mut Vec<World>) {
         let log = &self.machines[at].log;
-        let voters = seats(log);
-        // A newcomer that has all may be proposed for its own old seat, or another machine's.
-        let new = (0..self.machines.len()).map(|n| (n, self.seat(n)));
+        let voters = voters(log);
+        // A newcomer that has all may be proposed for its own old voter, or another machine's.
+        let new = (0..self.machines.len()).map(|n| (n, self.voter(n)));
         let new = new.filter(|(n, s)| !voters.contains(s) && self.machines[*n].log.len() == log.len());
         let mut changes = vec![Vec::new()];
-        for (_, seat) in new {
+        for (_, voter) in new {
             let mut next = voters.clone();
-            let gone = |s: &Voter| self.seat(s.node as usize) != *s;
-            let place = next.iter().position(|s| s.node == seat.node).or(next.iter().position(gone));
-            next[place.unwrap_or(0)] = seat;
+            let gone = |s: &Voter| self.voter(s.node as usize) != *s;
+            let place = next.iter().position(|s| s.node == voter.node).or(next.iter().position(gone));
+            next[place.unwrap_or(0)] = voter;
             changes.push(next);
         }
         let number = self.held.len();
@@ -220,7 +220,7 @@
     /// A machine hears a ballot's question; its word is on the wire from then on.
     fn deliver(&self, at: usize, held: usize) -> Option<World> {
         let (mut world, ballot) = (self.clone(), &self.held[held]);
-        let sits = seats(&self.machines[at].log).contains(&self.seat(at));
+        let sits = voters(&self.machines[at].log).contains(&self.voter(at));
         let disk = &mut world.machines[at].disk;
         let node = at as NodeId;
         match &ballot.accepting {
--- a/crates/control/consensus/tests/schedules.rs
+++ b/crates/control/consensus/tests/schedules.rs
@@ -1,5 +1,5 @@
 //! Ballots under seeded schedules: messages lost, doubled, late and out of order, machines that lose their disks, processes
-//! that end before their own disk knew of a ballot, and sets of seats that change. Whatever happens, one slot has one value.
+//! that end before their own disk knew of a ballot, and sets of voters that change. Whatever happens, one slot has one value.
 
 use limeway_consensus::{
     Acceptor, AcceptorReply, NodeId, ProposalNumber, Proposer, ProposerStep, Slot, Voter,
@@ -16,7 +16,7 @@
     Lives,
     /// Ballots do not tell the processes apart that hold them.
     Boots,
-    /// A newcomer is given a seat before it has the state, and votes without it.
+    /// A newcomer is given a voter before it has the state, and votes without it.
     Learning,
 }
 
@@ -27,9 +27,9 @@
     Word(Slot, ProposalNumber, AcceptorReply),
 }
 
-struct Chance(u64);
+struct Rng(u64);
 
-impl Chance {
+impl Rng {
     fn below(&mut self, n: usize) -> usize {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -47,7 +47,7 @@
     log: Vec<ByteBuf>,
     /// The highest round that its process has used: forgotten when it ends.
     used: u64,
-    boot: u64,
+    incarnation: u64,
     round: Option<Proposer>,
     accepting: ByteBuf,
 }
@@ -59,27 +59,27 @@
     wire: Vec<(NodeId, NodeId, Message)>,
     /// Who has ever accepted what, by slot.
     accepted: BTreeMap<(Slot, ProposalNumber, Vec<u8>), BTreeSet<Voter>>,
-    /// The values that a majority of the seats of a slot has accepted.
+    /// The values that a majority of the voters of a slot has accepted.
     chosen: BTreeMap<Slot, BTreeSet<Vec<u8>>>,
     next: u64,
 }
 
-/// A value is a number, and the seats from the next slot on if it changes them.
-fn value(number: u64, seats: &[Voter]) -> ByteBuf {
+/// A value is a number, and the voters from the next slot on if it changes them.
+fn value(number: u64, voters: &[Voter]) -> ByteBuf {
     let mut bytes = number.to_be_bytes().to_vec();
-    for seat in seats {
-        bytes.extend_from_slice(&seat.node.to_be_bytes());
-        bytes.extend_from_slice(&seat.disk.to_be_bytes());
+    for voter in voters {
+        bytes.extend_from_slice(&voter.node.to_be_bytes());
+        bytes.extend_from_slice(&voter.disk.to_be_bytes());
     }
     ByteBuf::from(bytes)
 }
 
-fn seats_of(bytes: &[u8]) -> Vec<Voter> {
-    let seat = |c: &[u8]| Voter {
+fn voters_of(bytes: &[u8]) -> Vec<Voter> {
+    let voter = |c: &[u8]| Voter {
         node: c[..4].iter().fold(0, |n, b| n << 8 | u32::from(*b)),
         disk: c[4..].iter().fold(0, |n, b| n << 8 | u64::from(*b)),
     };
-    bytes[8..].chunks(12).map(seat).collect()
+    bytes[8..].chunks(12).map(voter).collect()
 }
 
 impl World {
@@ -88,7 +88,7 @@
             disk: Acceptor { disk: if n < machines { 0 } else { 100 + n as u64 }, ..Acceptor::default() },
             log: Vec::new(),
             used: 0,
-            boot: 1 + n as u64,
+            incarnation: 1 + n as u64,
             round: None,
             accepting: ByteBuf::new(),
         };
@@ -103,28 +103,28 @@
         }
     }
 
-    /// The seats for the slot after a log.
-    fn seats(&self, log: &[ByteBuf]) -> Vec<Voter> {
-        log.iter().rev().map(|v| seats_of(v)).find(|s| !s.is_empty()).unwrap_or_else(|| self.first.clone())
+    /// The voters for the slot after a log.
+    fn voters(&self, log: &[ByteBuf]) -> Vec<Voter> {
+        log.iter().rev().map(|v| voters_of(v)).find(|s| !s.is_empty()).unwrap_or_else(|| self.first.clone())
     }
 
-    fn seat(&self, at: usize) -> Voter {
+    fn voter(&self, at: usize) -> Voter {
         Voter { node: at as NodeId, disk: self.machines[at].disk.disk }
     }
 
-    fn propose(&mut self, at: usize, chance: &mut Chance) {
+    fn propose(&mut self, at: usize, rng: &mut Rng) {
         let machine = &self.machines[at];
-        let seats = self.seats(&machine.log);
+        let voters = self.voters(&machine.log);
         self.next += 1;
-        // Now and then a machine without a seat takes the place of one that lost its disk or is another machine's.
-        let new = (0..self.machines.len()).map(|n| self.seat(n)).find(|s| {
+        // Now and then a machine without a voter takes the place of one that lost its disk or is another machine's.
+        let new = (0..self.machines.len()).map(|n| self.voter(n)).find(|s| {
             let has = self.machines[s.node as usize].log.len() == machine.log.len();
-            !seats.contains(s) && (has || self.off == Off::Learning)
+            !voters.contains(s) && (has || self.off == Off::Learning)
         });
         let change = match new {
-            Some(new) if chance.below(2) == 0 => {
-                let mut next = seats.clone();
-                let place = next.iter().position(|s| s.node == new.node).unwrap_or(chance.below(next.len()));
+            Some(new) if rng.below(2) == 0 => {
+                let mut next = voters.clone();
+                let place = next.iter().position(|s| s.node == new.node).unwrap_or(rng.below(next.len()));
                 next[place] = new;
                 next
             }
@@ -133,10 +133,10 @@
         let machine = &mut self.machines[at];
         let round = machine.disk.slot_state.promised.round.max(machine.used) + 1;
         machine.used = round;
-        let boot = if self.off == Off::Boots { 0 } else { machine.boot };
-        let ballot = ProposalNumber { round, proposer: at as NodeId, incarnation: boot };
+        let incarnation = if self.off == Off::Boots { 0 } else { machine.incarnation };
+        let ballot = ProposalNumber { round, proposer: at as NodeId, incarnation: incarnation };
         let slot = machine.disk.applied + 1;
-        machine.round = Some(Proposer::new(slot, ballot, seats, value(self.next, &change)));
+        machine.round = Some(Proposer::new(slot, ballot, voters, value(self.next, &change)));
         self.send_all(at, &Message::Prepare(slot, ballot));
     }
 
@@ -150,7 +150,7 @@
     fn restart(&mut self, at: usize) {
         self.next += 1;
         let machine = &mut self.machines[at];
-        (machine.round, machine.used, machine.boot) = (None, 0, self.next);
+        (machine.round, machine.used, machine.incarnation) = (None, 0, self.next);
     }
 
     /// A machine comes back with an empty disk.
@@ -162,18 +162,18 @@
         machine.log.clear();
     }
 
-    /// Disks may be lost as long as a majority of the seats of every machine's view keeps theirs.
+    /// Disks may be lost as long as a majority of the voters of every machine's view keeps theirs.
     fn may_lose(&self, at: usize) -> bool {
         let longest = self.machines.iter().map(|m| m.log.len()).max().unwrap_or(0);
         let chosen = self.chosen.keys().max().copied().unwrap_or(0) as usize;
         // All that was chosen is applied at all who sit: nothing is half-way while a disk goes.
-        let seats = match self.machines.iter().find(|m| m.log.len() == longest) {
-            Some(m) => self.seats(&m.log),
+        let voters = match self.machines.iter().find(|m| m.log.len() == longest) {
+            Some(m) => self.voters(&m.log),
             None => return false,
         };
         chosen <= longest
-            && seats.iter().all(|s| self.seat(s.node as usize) == *s)
-            && seats
+            && voters.iter().all(|s| self.voter(s.node as usize) == *s)
+            && voters
                 .iter()
                 .filter(|s| s.node as usize != at)
                 .all(|s| self.machines[s.node as usize].log.len() == longest || self.off == Off::Learning)
@@ -196,8 +196,8 @@
 
     fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
         let at = to as usize;
-        let seats = self.seats(&self.machines[at].log);
-        let sits = seats.contains(&self.seat(at));
+        let voters = self.voters(&self.machines[at].log);
+        let sits = voters.contains(&self.voter(at));
         match message {
             Message::Prepare(slot, ballot) => {
                 let skip = self.off == Off::Learning && slot > self.machines[at].disk.applied + 1;
@@ -217,8 +217,8 @@
                 if let AcceptorReply::Accepted { .. } = word {
                     let who = self.accepted.entry((slot, ballot, value.to_vec())).or_default();
                     who.insert(Voter { node: to, disk: self.machines[at].disk.disk });
-                    let votes = who.iter().filter(|s| seats.contains(s)).count();
-                    if votes > seats.len() / 2 {
+                    let votes = who.iter().filter(|s| voters.contains(s)).count();
+                    if votes > voters.len() / 2 {
                         self.chosen.entry(slot).or_default().insert(value.to_vec());
                     }
                 }
@@ -247,23 +247,23 @@
         }
     }
 
-    fn step(&mut self, chance: &mut Chance) {
+    fn step(&mut self, rng: &mut Rng) {
         let machines = self.machines.len();
-        match chance.below(100) {
+        match rng.below(100) {
             0..=5 => {
-                let at = chance.below(machines);
-                self.propose(at, chance);
+                let at = rng.below(machines);
+                self.propose(at, rng);
             }
-            6 => self.restart(chance.below(machines)),
+            6 => self.restart(rng.below(machines)),
             7..=8 => {
-                let at = chance.below(machines);
+                let at = rng.below(machines);
                 if self.may_lose(at) {
                     self.wipe(at);
                 }
             }
-            9..=14 => self.learn(chance.below(machines), chance.below(machines)),
+            9..=14 => self.learn(rng.below(machines), rng.below(machines)),
             fate if !self.wire.is_empty() => {
-                let at = chance.below(self.wire.len());
+                let at = rng.below(self.wire.len());
                 let (from, to, message) =
                     if fate < 22 { self.wire[at].clone() } else { self.wire.swap_remove(at) };
                 if fate < 94 {
@@ -274,7 +274,7 @@
         }
         // Late messages are kept, endless ones are not.
         if self.wire.len() > 400 {
-            self.wire.swap_remove(chance.below(400));
+            self.wire.swap_remove(rng.below(400));
         }
     }
 
@@ -287,9 +287,9 @@
 fn play(machines: usize, spare: usize, off: Off, seeds: u64, steps: usize) -> (Option<u64>, usize) {
     let mut some = 0;
     for seed in 0..seeds {
-        let (mut world, mut chance) = (World::new(machines, spare, off), Chance(seed));
+        let (mut world, mut rng) = (World::new(machines, spare, off), Rng(seed));
         for _ in 0..steps {
-            world.step(&mut chance);
+            world.step(&mut rng);
             if world.broken() {
                 return (Some(seed), some);
             }
@@ -326,18 +326,18 @@
 #[case(Off::Lives, 2)]
 fn a_word_of_a_lost_disk_counts_no_more(#[case] off: Off, #[case] values: usize) {
     let mut world = World::new(3, 0, off);
-    let seats = world.first.clone();
+    let voters = world.first.clone();
     let ballots = [
         ProposalNumber { round: 9, proposer: 0, incarnation: 1 },
         ProposalNumber { round: 5, proposer: 1, incarnation: 2 },
     ];
     // Machine 0 holds ballot 9, and has the promise of machine 2 only.
-    world.machines[0].round = Some(Proposer::new(1, ballots[0], seats.clone(), value(1, &[])));
+    world.machines[0].round = Some(Proposer::new(1, ballots[0], voters.clone(), value(1, &[])));
     world.deliver(0, 2, Message::Prepare(1, ballots[0]));
     let early = world.wire.pop().expect("a promise");
     // Machine 2 loses its disk. Machine 1 wants its lower ballot chosen by itself and machine 2.
     world.wipe(2);
-    world.machines[1].round = Some(Proposer::new(1, ballots[1], seats, value(2, &[])));
+    world.machines[1].round = Some(Proposer::new(1, ballots[1], voters, value(2, &[])));
     for message in [Message::Prepare(1, ballots[1]), Message::Accept(1, ballots[1], value(2, &[]))] {
         for to in [1, 2] {
             world.deliver(1, to, message.clone());
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -13,12 +13,12 @@
     MemberHeartbeat { node, frontend: front, zone: "z".into(), ready: true, age: 0 }
 }
 
-/// A poll of one who knows so much of the teller's board.
-pub(crate) fn poll(board: &StateCache, epoch: u64, servers: u64, members: u64) -> LongPoll {
+/// A poll of one who knows so much of the upstream's cache.
+pub(crate) fn poll(cache: &StateCache, epoch: u64, servers: u64, members: u64) -> LongPoll {
     LongPoll {
         sender: presence(1),
         downstream: Vec::new(),
-        request: board.state_request(),
+        request: cache.state_request(),
         incarnation: epoch,
         registry_revision: servers,
         members_revision: members,
@@ -66,15 +66,15 @@
     })
 }
 
-/// A core machine that is sure at `now`, with so many operations and a big one among them.
+/// A core machine that is confirmed at `now`, with so many operations and a big one among them.
 pub(crate) fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> StateCache {
-    let mut board = StateCache::new(epoch);
-    board.apply_operation(&encode(&seats(machines)));
+    let mut cache = StateCache::new(epoch);
+    cache.apply_operation(&encode(&seats(machines)));
     if big > 0 {
-        board.apply_operation(&routes(1, big));
+        cache.apply_operation(&routes(1, big));
     }
-    board.confirmed_at = now;
-    board
+    cache.confirmed_at = now;
+    cache
 }
 
 /// The operation that seats these machines.
--- a/crates/control/distribution/tests/follower.rs
+++ b/crates/control/distribution/tests/follower.rs
@@ -19,9 +19,9 @@
 /// What a machine does with a poll.
 #[derive(Clone, Copy, PartialEq)]
 enum Teller {
-    /// It is sure.
+    /// It is confirmed.
     InTouch,
-    /// It is not sure, but answers.
+    /// It is not confirmed, but answers.
     CutOff,
     /// It answers nothing: that takes 300 ms to be seen.
     Silent,
@@ -29,8 +29,8 @@
 
 struct Play {
     follower: Follower,
-    board: StateCache,
-    tellers: BTreeMap<NodeId, Teller>,
+    cache: StateCache,
+    upstreams: BTreeMap<NodeId, Teller>,
     core: Vec<NodeId>,
     members: Vec<NodeId>,
     /// Small changes after the first slot.
@@ -41,11 +41,11 @@
 
 impl Play {
     /// A limiter of machine 50, zone "z". What a machine is not said to be, it is not: it is silent.
-    fn new(seeds: &[NodeId], core: &[NodeId], tellers: &[(NodeId, Teller)]) -> Self {
+    fn new(seeds: &[NodeId], core: &[NodeId], upstreams: &[(NodeId, Teller)]) -> Self {
         Play {
             follower: Follower::new(50, "z", seeds.to_vec()),
-            board: StateCache::relay(9),
-            tellers: tellers.iter().copied().collect(),
+            cache: StateCache::relay(9),
+            upstreams: upstreams.iter().copied().collect(),
             core: core.to_vec(),
             members: Vec::new(),
             changes: 0,
@@ -56,7 +56,7 @@
 
     fn until(&mut self, end: Micros) {
         while self.now < end {
-            match self.follower.next_action(self.now, &self.board) {
+            match self.follower.next_action(self.now, &self.cache) {
                 FollowerAction::Wait(until) => self.now = until.max(self.now + STEP).min(end),
                 FollowerAction::Fetch(..) => panic!("nothing big is told here"),
                 FollowerAction::Poll(node) => self.poll(node),
@@ -67,23 +67,24 @@
     fn poll(&mut self, node: NodeId) {
         let asked = self.now;
         self.asked.push((asked, node));
-        let poll = self.follower.poll(asked, &self.board, presence(50), 600_000);
-        let how = self.tellers.get(&node).copied().unwrap_or(Teller::Silent);
+        let poll = self.follower.poll(asked, &self.cache, presence(50), 600_000);
+        let how = self.upstreams.get(&node).copied().unwrap_or(Teller::Silent);
         if how == Teller::Silent {
             self.now += 300_000;
             return self.follower.handle_failure(self.now, node);
         }
-        let sure = if how == Teller::InTouch { asked - 200_000 } else { 1 };
-        let mut teller = core(u64::from(node), sure, &self.core, 0);
+        let confirmed = if how == Teller::InTouch { asked - 200_000 } else { 1 };
+        let mut upstream = core(u64::from(node), confirmed, &self.core, 0);
         for mark in 0..self.changes {
-            teller.apply_operation(&encode(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
+            upstream
+                .apply_operation(&encode(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
         }
-        teller.set_members(self.members.iter().map(|n| (*n, "y".to_owned()).into()).collect());
-        let held = if how == Teller::InTouch && !teller.has_update(&poll) { 600_000 } else { 0 };
-        teller.confirmed_at += if how == Teller::InTouch { held } else { 0 };
+        upstream.set_members(self.members.iter().map(|n| (*n, "y".to_owned()).into()).collect());
+        let held = if how == Teller::InTouch && !upstream.has_update(&poll) { 600_000 } else { 0 };
+        upstream.confirmed_at += if how == Teller::InTouch { held } else { 0 };
         self.now += held + STEP;
-        let feed = teller.respond(self.now - STEP, &poll, held);
-        self.follower.handle_response(self.now, asked, &poll.request, node, feed, &mut self.board);
+        let response = upstream.respond(self.now - STEP, &poll, held);
+        self.follower.handle_response(self.now, asked, &poll.request, node, response, &mut self.cache);
     }
 
     fn times(&self, node: NodeId) -> Vec<Micros> {
@@ -115,7 +116,7 @@
     let core = [1, 2, 3];
     let first = first_choice(&core);
     let mut play = Play::new(&core, &core, &core.map_in_touch());
-    play.tellers.insert(first, how);
+    play.upstreams.insert(first, how);
     play.until(80_000_000);
     let gaps: Vec<Micros> = play.times(first).windows(2).map(|t| t[1] - t[0]).collect();
     let mut pause = INITIAL_BACKOFF;
@@ -124,15 +125,15 @@
         pause = (2 * pause).min(MAX_BACKOFF);
     }
     assert!(gaps.len() >= 6, "it is asked again for ever: {gaps:?}");
-    // Another one was asked at once, and the limiter stays sure.
+    // Another one was asked at once, and the limiter stays confirmed.
     assert!(play.asked[1].0 <= play.asked[0].0 + 300_000 && play.asked[1].1 != first);
-    assert!(play.board.is_confirmed(play.now));
+    assert!(play.cache.is_confirmed(play.now));
 
     // In touch again, it is the first choice at once after its pause; the next pause is a short one.
-    play.tellers.insert(first, Teller::InTouch);
+    play.upstreams.insert(first, Teller::InTouch);
     play.until(play.now + MAX_BACKOFF + 1_000_000);
     assert_eq!(play.asked.last().map(|(_, n)| *n), Some(first));
-    play.tellers.insert(first, how);
+    play.upstreams.insert(first, how);
     let back = play.now;
     play.until(back + 1_000_000 + INITIAL_BACKOFF + 1_300_000);
     assert!(play.times(first).iter().filter(|t| **t >= back).count() >= 2);
@@ -145,7 +146,7 @@
     let mut play = Play::new(&core, &core, &core.map(|n| (n, Teller::CutOff)));
     play.members = vec![60, 61, 62];
     play.until(50_000_000);
-    assert!(!play.board.is_confirmed(play.now));
+    assert!(!play.cache.is_confirmed(play.now));
     let span = 50_000_000 - play.asked[core.len()].0;
     assert!(
         play.asked.len() as u64 <= core.len() as u64 + 3 + span / RETRY_INTERVAL,
@@ -153,11 +154,11 @@
         play.asked.len()
     );
     for machine in core {
-        play.tellers.insert(machine, Teller::InTouch);
+        play.upstreams.insert(machine, Teller::InTouch);
     }
     let back = play.now;
     play.until(back + 1_000_000);
-    assert!(play.board.is_confirmed(play.now), "a second after the core is back");
+    assert!(play.cache.is_confirmed(play.now), "a second after the core is back");
 }
 
 #[rstest]
@@ -168,12 +169,12 @@
     let mut play = Play::new(&[1, 2], &core, &[(1, Teller::CutOff), (2, Teller::CutOff)]);
     play.members = vec![60, 61];
     for node in reached.iter().chain(relays) {
-        play.tellers.insert(*node, Teller::InTouch);
+        play.upstreams.insert(*node, Teller::InTouch);
     }
     play.until(20_000_000 + 5_000_000);
-    assert!(play.board.is_confirmed(play.now), "asked {:?}", play.asked);
+    assert!(play.cache.is_confirmed(play.now), "asked {:?}", play.asked);
     // What the seeds say of members is not believed, though it led the way.
-    assert_eq!(play.board.members().len(), 2);
+    assert_eq!(play.cache.members().len(), 2);
     assert!(play.asked.len() < 60, "{} questions", play.asked.len());
 }
 
@@ -182,24 +183,24 @@
     let mut play = Play::new(&[1], &[1], &[1].map_in_touch());
     // Who has nothing yet is told the whole state; what is spaced are the changes after it.
     play.poll(1);
-    assert_eq!(play.board.state.slot, 1);
+    assert_eq!(play.cache.state.slot, 1);
     play.changes = 1;
     play.poll(1);
-    assert_eq!(play.board.state.slot, 2);
+    assert_eq!(play.cache.state.slot, 2);
     assert_eq!(
-        play.follower.next_action(play.now, &play.board),
+        play.follower.next_action(play.now, &play.cache),
         FollowerAction::Wait(play.now + UPDATE_SPACING)
     );
     play.now += UPDATE_SPACING;
     play.poll(1);
-    assert_eq!(play.follower.next_action(play.now, &play.board), FollowerAction::Poll(1));
+    assert_eq!(play.follower.next_action(play.now, &play.cache), FollowerAction::Poll(1));
 }
 
 #[rstest]
 fn less_is_asked_for_where_answers_do_not_come() {
     let mut play = Play::new(&[1], &[1], &[1].map_in_touch());
     let room = |play: &mut Play| {
-        play.follower.poll(play.now, &play.board, presence(50), 0).request.max_bytes as usize
+        play.follower.poll(play.now, &play.cache, presence(50), 0).request.max_bytes as usize
     };
     let mut most = MAX_CHUNK_BYTES;
     for _ in 0..10 {
--- a/crates/control/distribution/tests/responses.rs
+++ b/crates/control/distribution/tests/responses.rs
@@ -27,15 +27,15 @@
         core.registry
             .observe(now, &report(step % 40, step, if step % 11 == 0 { Phase::Gone } else { Phase::Ready }));
         core.set_members(vec![(step as u32 % 5, "z".to_owned()).into()]);
-        for (board, (epoch, servers, members), every) in &mut limiters {
+        for (cache, (epoch, servers, members), every) in &mut limiters {
             if step % *every == 0 {
                 // What is not told with one answer is told with the next ones.
-                while board.state.slot < core.state.slot {
-                    let asked = poll(board, *epoch, *servers, *members);
-                    let feed = core.respond(now, &asked, 0);
+                while cache.state.slot < core.state.slot {
+                    let asked = poll(cache, *epoch, *servers, *members);
+                    let response = core.respond(now, &asked, 0);
                     (*epoch, *servers, *members) =
-                        (feed.incarnation, feed.registry_revision, feed.members_revision);
-                    board.apply_response(now, now, asked.request.slot, feed);
+                        (response.incarnation, response.registry_revision, response.members_revision);
+                    cache.apply_response(now, now, asked.request.slot, response);
                 }
             }
         }
@@ -48,11 +48,11 @@
             .filter(|(_, s)| s.phase != Phase::Gone && !s.unresponsive && !s.unlisted);
         servers.map(|(id, s)| (id.clone(), s.phase)).collect()
     };
-    for (board, _, every) in &limiters {
+    for (cache, _, every) in &limiters {
         if 400 % every == 0 {
-            assert_eq!(board.state, core.state, "every {every}");
-            assert_eq!(board.members(), core.members());
-            assert_eq!(live(board), live(&core), "every {every}");
+            assert_eq!(cache.state, core.state, "every {every}");
+            assert_eq!(cache.members(), core.members());
+            assert_eq!(live(cache), live(&core), "every {every}");
         }
     }
 }
@@ -62,15 +62,15 @@
     let (mut core, mut relay, mut limiter) = (StateCache::new(1), StateCache::new(2), StateCache::new(3));
     core.confirmed_at = 50_000_000;
     // Each clock has its own origin; the relay asked at 10 s of its clock, was held 0.5 s, and has the answer at 10.6 s.
-    let feed = core.respond(50_900_000, &poll(&relay, 0, 0, 0), 500_000);
-    relay.apply_response(10_600_000, 10_000_000, 0, feed);
+    let response = core.respond(50_900_000, &poll(&relay, 0, 0, 0), 500_000);
+    relay.apply_response(10_600_000, 10_000_000, 0, response);
     assert_eq!(relay.confirmed_at, 10_500_000 - 900_000);
-    let feed = relay.respond(11_000_000, &poll(&limiter, 0, 0, 0), 0);
-    limiter.apply_response(77_000_000, 76_900_000, 0, feed);
+    let response = relay.respond(11_000_000, &poll(&limiter, 0, 0, 0), 0);
+    limiter.apply_response(77_000_000, 76_900_000, 0, response);
     assert_eq!(limiter.confirmed_at, 76_900_000 - 1_400_000);
-    // An older word does not take surety back.
-    let feed = StateCache::new(4).respond(0, &poll(&limiter, 0, 0, 0), 0);
-    limiter.apply_response(78_000_000, 77_900_000, 0, feed);
+    // An older word does not take confirmation back.
+    let response = StateCache::new(4).respond(0, &poll(&limiter, 0, 0, 0), 0);
+    limiter.apply_response(78_000_000, 77_900_000, 0, response);
     assert_eq!(limiter.confirmed_at, 76_900_000 - 1_400_000);
 }
 
@@ -82,8 +82,8 @@
     }
     old.apply_operation(&encode(&Operation::SetGateways { add: vec![0], remove: vec![] }));
     let before = new.state.clone();
-    let feed = old.respond(0, &poll(&new, 0, 0, 0), 0);
-    new.apply_response(0, 0, 3, feed);
+    let response = old.respond(0, &poll(&new, 0, 0, 0), 0);
+    new.apply_response(0, 0, 3, response);
     assert_eq!(new.state, before);
 }
 
@@ -123,8 +123,8 @@
     for n in 1..=300 {
         core.registry.observe(1_000_000, &report(n, n, Phase::Ready));
     }
-    let feed = core.respond(1_000_000, &poll(&StateCache::relay(1), 0, 0, 0), 0);
-    let bytes = encode(&feed);
-    assert!(bytes.len() < encode(&feed.servers).len() / 4, "{} bytes", bytes.len());
-    assert_eq!(limeway_distribution::decode::<limeway_distribution::UpdateResponse>(&bytes), Some(feed));
+    let response = core.respond(1_000_000, &poll(&StateCache::relay(1), 0, 0, 0), 0);
+    let bytes = encode(&response);
+    assert!(bytes.len() < encode(&response.servers).len() / 4, "{} bytes", bytes.len());
+    assert_eq!(limeway_distribution::decode::<limeway_distribution::UpdateResponse>(&bytes), Some(response));
 }
--- a/crates/control/distribution/tests/storm.rs
+++ b/crates/control/distribution/tests/storm.rs
@@ -35,7 +35,7 @@
 struct Limiter {
     node: NodeId,
     follower: Follower,
-    board: StateCache,
+    cache: StateCache,
     asked: Asked,
     at: Micros,
     answer: Option<(Micros, Answer)>,
@@ -55,32 +55,32 @@
 
 impl Zone {
     fn new() -> Self {
-        let mut board = core(7, 1, &CORE, 0);
+        let mut cache = core(7, 1, &CORE, 0);
         let members: Vec<Member> =
             (0..LIMITERS).map(|n| (100 + n as NodeId, "z".to_owned()).into()).collect();
-        board.set_members(members);
+        cache.set_members(members);
         let limiter = |n: usize| Limiter {
             node: 100 + n as NodeId,
             follower: Follower::new(100 + n as NodeId, "z", CORE.to_vec()),
-            board: StateCache::relay(50 + n as u64),
+            cache: StateCache::relay(50 + n as u64),
             asked: Asked::Nothing,
             at: 0,
             answer: None,
             busy_until: 0,
             late: 0,
         };
-        Zone { now: 10_000_000, core: board, limiters: (0..LIMITERS).map(limiter).collect() }
+        Zone { now: 10_000_000, core: cache, limiters: (0..LIMITERS).map(limiter).collect() }
     }
 
     /// An answer of this many bytes leaves now: when it is there. Links of limiters carry one thing after the other.
-    fn carry(&mut self, teller: Option<usize>, to: usize, bytes: u64) -> Micros {
+    fn carry(&mut self, upstream: Option<usize>, to: usize, bytes: u64) -> Micros {
         let mut there = self.now;
-        for end in teller.into_iter().chain([to]) {
+        for end in upstream.into_iter().chain([to]) {
             let link = &mut self.limiters[end].busy_until;
             *link = (*link).max(there) + bytes * 1_000_000 / LINK;
             there = *link;
         }
-        there + if teller.is_some() { 1_000 } else { WAY }
+        there + if upstream.is_some() { 1_000 } else { WAY }
     }
 
     fn tick(&mut self) {
@@ -101,11 +101,11 @@
         if !matches!(l.asked, Asked::Nothing) {
             return;
         }
-        l.asked = match l.follower.next_action(now, &l.board) {
+        l.asked = match l.follower.next_action(now, &l.cache) {
             FollowerAction::Wait(_) => return,
             FollowerAction::Fetch(node, want) => Asked::Fetch(node, want),
             FollowerAction::Poll(node) => {
-                let poll = l.follower.poll(now, &l.board, presence(l.node), 600_000);
+                let poll = l.follower.poll(now, &l.cache, presence(l.node), 600_000);
                 Asked::Poll(node, Box::new(poll))
             }
         };
@@ -124,18 +124,18 @@
         if now < came {
             return;
         }
-        let board = relay.map_or(&self.core, |r| &self.limiters[r].board);
+        let cache = relay.map_or(&self.core, |r| &self.limiters[r].cache);
         let (answer, bytes) = match &l.asked {
             Asked::Poll(_, poll) => {
-                if !board.has_update(poll) && now < board.long_poll_deadline(came, poll, 2_000_000) {
+                if !cache.has_update(poll) && now < cache.long_poll_deadline(came, poll, 2_000_000) {
                     return;
                 }
-                let feed = board.respond(now, poll, now - came);
-                let bytes = size(&feed);
-                (Answer::Feed(Box::new(feed)), bytes)
+                let response = cache.respond(now, poll, now - came);
+                let bytes = size(&response);
+                (Answer::Feed(Box::new(response)), bytes)
             }
             Asked::Fetch(_, want) => {
-                let steps = board.state_update(want);
+                let steps = cache.state_update(want);
                 let bytes = size(&steps);
                 (Answer::Steps(steps), bytes)
             }
@@ -156,11 +156,11 @@
             (l.asked, l.answer, l.late) = (Asked::Nothing, None, l.late + 1);
         } else if there {
             match (std::mem::replace(&mut l.asked, Asked::Nothing), l.answer.take()) {
-                (Asked::Poll(_, poll), Some((_, Answer::Feed(feed)))) => {
-                    l.follower.handle_response(now, l.at, &poll.request, node, *feed, &mut l.board);
+                (Asked::Poll(_, poll), Some((_, Answer::Feed(response)))) => {
+                    l.follower.handle_response(now, l.at, &poll.request, node, *response, &mut l.cache);
                 }
                 (Asked::Fetch(_, want), Some((_, Answer::Steps(steps)))) => {
-                    l.follower.handle_fetched(now, &want, steps, &mut l.board);
+                    l.follower.handle_fetched(now, &want, steps, &mut l.cache);
                 }
                 _ => panic!("an answer to another question"),
             }
@@ -168,7 +168,7 @@
     }
 
     fn lag(&self) -> u64 {
-        let slot = self.limiters.iter().map(|l| l.board.state.slot).min().unwrap_or(0);
+        let slot = self.limiters.iter().map(|l| l.cache.state.slot).min().unwrap_or(0);
         self.core.state.slot - slot
     }
 
@@ -201,7 +201,7 @@
     assert!(most <= 8, "two seconds' changes: {most}");
     zone.until(22_000_000, |_| {});
     assert_eq!(zone.lag(), 0);
-    assert!(zone.limiters.iter().all(|l| l.late == 0 && l.board.is_confirmed(zone.now)));
+    assert!(zone.limiters.iter().all(|l| l.late == 0 && l.cache.is_confirmed(zone.now)));
 }
 
 /// All start anew while it storms: they get the whole state, and what follows it.
@@ -221,5 +221,5 @@
         }
     });
     assert!(zone.lag() <= 8, "{}", zone.lag());
-    assert!(zone.limiters.iter().all(|l| l.board.is_confirmed(zone.now)));
+    assert!(zone.limiters.iter().all(|l| l.cache.is_confirmed(zone.now)));
 }
--- a/crates/control/distribution/tests/transfers.rs
+++ b/crates/control/distribution/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! What is big goes in parts that go on where they stopped, from any teller, and count only as their digest says.
+//! What is big goes in parts that go on where they stopped, from any upstream, and count only as their digest says.
 
 mod common;
 
@@ -9,27 +9,27 @@
 use rstest::rstest;
 
 /// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
-fn tellers(after: u64) -> [StateCache; 2] {
+fn upstreams(after: u64) -> [StateCache; 2] {
     [1, 2].map(|epoch| {
-        let mut board = core(epoch, 1, &[1, 2], 3_000);
+        let mut cache = core(epoch, 1, &[1, 2], 3_000);
         for n in 0..after {
-            board.apply_operation(&encode(&Operation::Evacuate {
+            cache.apply_operation(&encode(&Operation::Evacuate {
                 zone: format!("z{}", n % 5),
                 starts: n % 2 == 0,
                 call_id: 0,
                 retry_of: 0,
             }));
         }
-        board
+        cache
     })
 }
 
-/// Takes all that a teller has; each answer leads on.
-fn follow(limiter: &mut StateCache, teller: &StateCache) {
+/// Takes all that a upstream has; each answer leads on.
+fn follow(limiter: &mut StateCache, upstream: &StateCache) {
     let mut had = 0;
-    while limiter.state.slot < teller.state.slot {
+    while limiter.state.slot < upstream.state.slot {
         let want = limiter.state_request();
-        limiter.apply_update(want.slot, teller.state_update(&want));
+        limiter.apply_update(want.slot, upstream.state_update(&want));
         let now = limiter.state_request();
         assert!(
             now.slot > want.slot || now.received.is_some_and(|h| h.offset > had),
@@ -50,11 +50,11 @@
 #[case::an_operation(0)]
 #[case::a_whole_state(70)]
 #[case::operations_no_longer_kept(400)]
-fn parts_go_on_after_a_break_and_at_another_teller(#[case] after: u64) {
-    let mut tellers = tellers(after);
+fn parts_go_on_after_a_break_and_at_another_upstream(#[case] after: u64) {
+    let mut upstreams = upstreams(after);
     if after > 0 {
         // The other one is some slots ahead; what it tells of the whole state is the same all the same.
-        tellers[1].apply_operation(&encode(&Operation::Evacuate {
+        upstreams[1].apply_operation(&encode(&Operation::Evacuate {
             zone: "ahead".into(),
             starts: true,
             call_id: 0,
@@ -67,7 +67,7 @@
     while limiter.state.slot < 2 {
         let want = limiter.state_request();
         // Each answer from the other one; each third is lost with its connection.
-        let steps = tellers[turns % 2].state_update(&want);
+        let steps = upstreams[turns % 2].state_update(&want);
         turns += 1;
         if turns % 3 == 0 {
             continue;
@@ -79,20 +79,20 @@
         limiter.apply_update(want.slot, steps);
     }
     assert!(size > 2 * MAX_CHUNK_BYTES && bytes == size, "{bytes} of {size}");
-    follow(&mut limiter, &tellers[0]);
-    assert_eq!(limiter.state, tellers[0].state);
+    follow(&mut limiter, &upstreams[0]);
+    assert_eq!(limiter.state, upstreams[0].state);
 }
 
 #[rstest]
 #[case::an_operation(0)]
 #[case::a_whole_state(70)]
 fn what_is_not_as_its_digest_says_is_begun_anew(#[case] after: u64) {
-    let [teller, _] = tellers(after);
+    let [upstream, _] = upstreams(after);
     let mut limiter = StateCache::relay(9);
     let mut spoilt = false;
     for _ in 0..100 {
         let want = limiter.state_request();
-        let mut steps = teller.state_update(&want);
+        let mut steps = upstream.state_update(&want);
         if let StateUpdate::Chunk(part) = &mut steps {
             if !spoilt && part.offset > 0 {
                 spoilt = true;
@@ -110,16 +110,16 @@
         }
     }
     assert!(spoilt);
-    assert_eq!(limiter.state, teller.state);
+    assert_eq!(limiter.state, upstream.state);
 }
 
 #[rstest]
 fn an_unfit_part_is_not_taken() {
-    let [teller, _] = tellers(0);
+    let [upstream, _] = upstreams(0);
     let mut limiter = StateCache::relay(9);
     let want = StateRequest { slot: 1, ..limiter.state_request() };
     limiter.apply_update(0, StateUpdate::Operations(vec![compress(&encode(&common::seats(&[1, 2]))).into()]));
-    let StateUpdate::Chunk(first) = teller.state_update(&want) else { panic!("no part") };
+    let StateUpdate::Chunk(first) = upstream.state_update(&want) else { panic!("no part") };
     limiter.apply_update(1, StateUpdate::Chunk(first.clone()));
     let have = limiter.state_request().received;
     // A gap, one that is longer than its parcel, and one of a parcel that is too long to be held.
@@ -137,19 +137,19 @@
 
 #[rstest]
 fn a_relay_says_that_there_is_something_big_and_tells_it_only_to_who_fetches_it() {
-    let [teller, _] = tellers(0);
+    let [upstream, _] = upstreams(0);
     let mut relay = StateCache::relay(8);
     // Who has nothing yet would be told the whole state, in place of the operation.
     relay.apply_operation(&encode(&common::seats(&[1, 2])));
-    follow(&mut relay, &teller);
+    follow(&mut relay, &upstream);
     let mut limiter = StateCache::relay(9);
     limiter.apply_operation(&encode(&common::seats(&[1, 2])));
     let asked = poll(&limiter, 0, 0, 0);
     assert_eq!(relay.respond(1, &asked, 0).state_update, StateUpdate::FetchFromCore(2));
-    assert_eq!(part(&relay.state_update(&asked.request)), part(&teller.state_update(&asked.request)));
+    assert_eq!(part(&relay.state_update(&asked.request)), part(&upstream.state_update(&asked.request)));
     // What is small it tells.
     relay.apply_operation(&routes(2, 1));
-    let asked = poll(&teller, 0, 0, 0);
+    let asked = poll(&upstream, 0, 0, 0);
     assert!(
         matches!(relay.respond(1, &asked, 0).state_update, StateUpdate::Operations(ops) if ops.len() == 1)
     );
@@ -160,16 +160,16 @@
 #[case(MIN_CHUNK_BYTES as u32 + 5, MIN_CHUNK_BYTES + 5)]
 #[case(u32::MAX, MAX_CHUNK_BYTES)]
 fn no_answer_holds_more_steps_than_there_is_room_for(#[case] room: u32, #[case] most: usize) {
-    let [mut teller, _] = tellers(0);
+    let [mut upstream, _] = upstreams(0);
     assert_eq!(
-        part(&teller.state_update(&StateRequest { slot: 1, received: None, max_bytes: room })).2,
+        part(&upstream.state_update(&StateRequest { slot: 1, received: None, max_bytes: room })).2,
         most
     );
     for n in 3..40 {
-        teller.apply_operation(&routes(n, 2));
+        upstream.apply_operation(&routes(n, 2));
     }
     let StateUpdate::Operations(ops) =
-        teller.state_update(&StateRequest { slot: 2, received: None, max_bytes: room })
+        upstream.state_update(&StateRequest { slot: 2, received: None, max_bytes: room })
     else {
         panic!("no operations")
     };
--- a/crates/control/membership/tests/role_leases.rs
+++ b/crates/control/membership/tests/role_leases.rs
@@ -10,9 +10,9 @@
     Holder { node, incarnation }
 }
 
-struct Chance(u64);
+struct Rng(u64);
 
-impl Chance {
+impl Rng {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         limeway_membership::hash(&self.0.to_le_bytes()) % n
@@ -20,9 +20,9 @@
 }
 
 struct Machine {
-    boot: u64,
+    incarnation: u64,
     votes: LeaseVoter,
-    duties: HeldLeases,
+    leases: HeldLeases,
     /// A round that is under way: when it was asked, its claims, the votes so far.
     round: Option<(Micros, Vec<LeaseRequest>, Vec<usize>)>,
 }
@@ -30,61 +30,67 @@
 /// Plays three machines; the most that held one group at one time, and for how many steps one was held at all.
 #[allow(clippy::too_many_lines, reason = "one schedule, read from top to bottom")]
 fn play(seed: u64, forgetful: bool) -> (usize, usize) {
-    let mut chance = Chance(seed);
+    let mut rng = Rng(seed);
     let mut now: Micros = 1_000_000_000;
-    let fresh = |now, boot, forgotten| Machine {
-        boot,
+    let fresh = |now, incarnation, forgotten| Machine {
+        incarnation,
         votes: LeaseVoter::new(now, forgotten),
-        duties: HeldLeases::default(),
+        leases: HeldLeases::default(),
         round: None,
     };
     let mut machines: Vec<Machine> = (1..=3).map(|n| fresh(now, n, false)).collect();
-    // Votes and news under way: from, to, boot of the sender, when asked, claim or what is held.
+    // Votes and news under way: from, to, incarnation of the sender, when asked, claim or what is held.
     let mut wire: Vec<(usize, usize, u64, Micros, LeaseRequest)> = Vec::new();
     let mut news: Vec<(usize, usize, u64, Vec<HeldLease>)> = Vec::new();
-    let (mut most, mut held, mut boots) = (0, 0, 10);
+    let (mut most, mut held, mut incarnations) = (0, 0, 10);
     for _ in 0..3_000 {
-        now += chance.below(60_000);
-        let at = chance.below(3) as usize;
-        match chance.below(20) {
+        now += rng.below(60_000);
+        let at = rng.below(3) as usize;
+        match rng.below(20) {
             // A machine restarts, and forgets.
-            0 if chance.below(12) == 0 => {
-                boots += 1;
-                machines[at] = fresh(now, boots, !forgetful);
+            0 if rng.below(12) == 0 => {
+                incarnations += 1;
+                machines[at] = fresh(now, incarnations, !forgetful);
             }
             1..=5 => {
                 // Now and then a machine sees nobody else, and holds itself to be the first choice.
                 let alone = [at as u32 + 1];
-                let live: &[u32] = if chance.below(3) == 0 { &alone } else { &[1, 2, 3] };
+                let live: &[u32] = if rng.below(3) == 0 { &alone } else { &[1, 2, 3] };
                 let m = &mut machines[at];
                 // The last round of this machine is over.
                 if let Some((_, claims, _)) = m.round.take() {
-                    let lost = claims.into_iter().filter(|c| !c.renewal && !m.duties.holds(now, c.shard));
+                    let lost = claims.into_iter().filter(|c| !c.renewal && !m.leases.holds(now, c.shard));
                     lost.for_each(|c| m.votes.release_vote(at as u32 + 1, c));
                 }
-                let claims = m.duties.requests(now, holder(at as u32 + 1, m.boot), live, &m.votes);
+                let claims = m.leases.requests(now, holder(at as u32 + 1, m.incarnation), live, &m.votes);
                 let claims: Vec<LeaseRequest> = claims.into_iter().filter(|c| c.shard == 0).collect();
                 for claim in &claims {
-                    (0..3).for_each(|to| wire.push((at, to, m.boot, now, *claim)));
+                    (0..3).for_each(|to| wire.push((at, to, m.incarnation, now, *claim)));
                 }
                 m.round = Some((now, claims, Vec::new()));
-                let holds = m.duties.held(now);
-                (0..3).filter(|to| *to != at).for_each(|to| news.push((at, to, m.boot, holds.clone())));
+                let holds = m.leases.held(now);
+                (0..3)
+                    .filter(|to| *to != at)
+                    .for_each(|to| news.push((at, to, m.incarnation, holds.clone())));
             }
             6..=8 if !news.is_empty() => {
-                let (from, to, boot, holds) = news.swap_remove(chance.below(news.len() as u64) as usize);
+                let (from, to, incarnation, holds) = news.swap_remove(rng.below(news.len() as u64) as usize);
                 // What a process says of itself comes in order, as its connection ends with it.
-                if machines[from].boot == boot && machines[from].duties.held(now).len() >= holds.len() {
-                    let holds = machines[from].duties.held(now);
-                    machines[to].votes.observe_holder(now, holder(from as u32 + 1, boot), &holds);
+                if machines[from].incarnation == incarnation
+                    && machines[from].leases.held(now).len() >= holds.len()
+                {
+                    let holds = machines[from].leases.held(now);
+                    machines[to].votes.observe_holder(now, holder(from as u32 + 1, incarnation), &holds);
                     let others: Vec<u32> = (1..=3).filter(|n| *n != to as u32 + 1).collect();
                     machines[to].votes.complete_recovery(&others);
                 }
             }
             _ if !wire.is_empty() => {
-                let (from, to, boot, asked, claim) =
-                    wire.swap_remove(chance.below(wire.len() as u64) as usize);
-                if chance.below(10) == 0 || now - asked > LEASE_REQUEST_TIMEOUT || machines[from].boot != boot
+                let (from, to, incarnation, asked, claim) =
+                    wire.swap_remove(rng.below(wire.len() as u64) as usize);
+                if rng.below(10) == 0
+                    || now - asked > LEASE_REQUEST_TIMEOUT
+                    || machines[from].incarnation != incarnation
                 {
                     continue;
                 }
@@ -95,13 +101,13 @@
                         votes.push(to);
                     }
                     if votes.len() >= 2 {
-                        m.duties.acquire(now, asked, claim);
+                        m.leases.acquire(now, asked, claim);
                     }
                 }
             }
             _ => {}
         }
-        let holders = machines.iter().filter(|m| m.duties.holds(now, 0)).count();
+        let holders = machines.iter().filter(|m| m.leases.holds(now, 0)).count();
         most = most.max(holders);
         held += holders.min(1);
     }
@@ -127,7 +133,7 @@
 #[rstest]
 fn a_new_life_of_a_process_frees_what_it_held() {
     let (mut votes, now) = (LeaseVoter::new(0, false), 100 * ROLE_LEASE);
-    let claim = |boot| LeaseRequest { shard: 3, incarnation: boot, renewal: false };
+    let claim = |incarnation| LeaseRequest { shard: 3, incarnation: incarnation, renewal: false };
     assert!(votes.vote(now, 1, claim(7)));
     assert!(!votes.vote(now, 2, claim(8)), "held by another");
     assert!(!votes.vote(now, 1, claim(9)), "its own earlier life may still hold it");
@@ -139,16 +145,16 @@
 /// ask a machine that holds nothing for as long as both live (voz-comum-antena trouble-3, every second play).
 #[rstest]
 fn a_vote_that_came_to_nothing_gives_way_to_the_holder() {
-    let (mut votes, mut duties, now) = (LeaseVoter::new(0, false), HeldLeases::default(), 100 * ROLE_LEASE);
-    let own = duties.requests(now, holder(1, 7), &[1], &votes)[0];
+    let (mut votes, mut leases, now) = (LeaseVoter::new(0, false), HeldLeases::default(), 100 * ROLE_LEASE);
+    let own = leases.requests(now, holder(1, 7), &[1], &votes)[0];
     assert!(votes.vote(now, 1, own));
     votes.observe_holder(now + 1, holder(2, 8), &[HeldLease { shard: own.shard, remaining: ROLE_LEASE }]);
     assert_eq!(votes.holder(now + 2, own.shard), Some(holder(2, 8)));
-    assert!(duties.requests(now + 2, holder(1, 7), &[1], &votes).iter().all(|c| c.shard != own.shard));
+    assert!(leases.requests(now + 2, holder(1, 7), &[1], &votes).iter().all(|c| c.shard != own.shard));
     // A round that counted its vote may still be won: nobody else gets it before that vote's own time.
     assert!(!votes.vote(now + ROLE_LEASE - 1, 3, LeaseRequest { incarnation: 9, ..own }));
-    duties.acquire(now, now, own);
-    assert!(duties.holds(now + ROLE_LEASE - 1, own.shard));
+    leases.acquire(now, now, own);
+    assert!(leases.holds(now + ROLE_LEASE - 1, own.shard));
 }
 
 #[rstest]
@@ -164,12 +170,12 @@
 
 #[rstest]
 fn a_holding_that_ended_is_not_renewed_by_a_late_answer() {
-    let mut duties = HeldLeases::default();
+    let mut leases = HeldLeases::default();
     let claim = LeaseRequest { shard: 0, incarnation: 1, renewal: false };
-    assert!(duties.acquire(10, 10, claim));
+    assert!(leases.acquire(10, 10, claim));
     let renewed = LeaseRequest { renewal: true, ..claim };
-    assert!(!duties.acquire(11 + ROLE_LEASE, 10 + ROLE_LEASE, renewed));
-    assert!(!duties.holds(11 + ROLE_LEASE, 0));
+    assert!(!leases.acquire(11 + ROLE_LEASE, 10 + ROLE_LEASE, renewed));
+    assert!(!leases.holds(11 + ROLE_LEASE, 0));
 }
 
 #[rstest]
--- a/crates/control/routing-config/tests/changes.rs
+++ b/crates/control/routing-config/tests/changes.rs
@@ -58,10 +58,10 @@
         let mut draw = Draw(seed);
         // By differences; whole; and one that looks seldom, and then takes the whole state.
         let (mut state, mut twin, mut late) = (State::default(), State::default(), State::default());
-        let (mut plan, mut late_plan) = (RoutingSnapshot::default(), RoutingSnapshot::default());
+        let (mut snapshot, mut late_snapshot) = (RoutingSnapshot::default(), RoutingSnapshot::default());
         for _ in 0..30 {
             let order = draw.order(state.version);
-            let (checked, admitted) = (state.check(&order), state.admit(&order, &plan));
+            let (checked, admitted) = (state.check(&order), state.admit(&order, &snapshot));
             assert_eq!(checked.as_ref().err(), admitted.as_ref().err(), "seed {seed}");
             let (Ok(checked), Ok(op)) = (checked, admitted) else {
                 refused += 1;
@@ -73,15 +73,15 @@
             assert_eq!((&state, state.document()), (&twin, twin.document()), "seed {seed}");
             if draw.below(3) > 0 {
                 // From another one than the last it is made anew.
-                let last = if draw.below(9) == 0 { &RoutingSnapshot::default() } else { &plan };
-                plan = state.snapshot_from(last).expect("plan");
-                assert_eq!(plan, state.compile_snapshot().expect("anew"), "seed {seed}");
-                assert_eq!(plan, checked, "seed {seed}");
+                let last = if draw.below(9) == 0 { &RoutingSnapshot::default() } else { &snapshot };
+                snapshot = state.snapshot_from(last).expect("plan");
+                assert_eq!(snapshot, state.compile_snapshot().expect("anew"), "seed {seed}");
+                assert_eq!(snapshot, checked, "seed {seed}");
             }
             if draw.below(6) == 0 {
                 late.install(twin.clone());
-                late_plan = late.snapshot_from(&late_plan).expect("plan");
-                assert_eq!(late_plan, late.compile_snapshot().expect("anew"), "seed {seed}");
+                late_snapshot = late.snapshot_from(&late_snapshot).expect("plan");
+                assert_eq!(late_snapshot, late.compile_snapshot().expect("anew"), "seed {seed}");
             }
         }
     }
@@ -124,7 +124,7 @@
     assert!(state.has_applied(&order), "it is known by the order's own digest");
     let after = state.snapshot_from(&before).expect("plan");
     let same = |path: &str| {
-        let of = |plan: &RoutingSnapshot| plan.route("h", path).expect("route").clone();
+        let of = |snapshot: &RoutingSnapshot| snapshot.route("h", path).expect("route").clone();
         Rc::ptr_eq(&of(&before), &of(&after))
     };
     assert!(same("/7/x") && !same("/1499/x"));
--- a/crates/control/routing-config/tests/orders.rs
+++ b/crates/control/routing-config/tests/orders.rs
@@ -90,9 +90,9 @@
     assert!(!state.has_applied(&order));
     take(&mut state, &text, false);
     assert!(state.has_applied(&order), "the same order again is known");
-    let plan = state.compile_snapshot().expect("plan");
-    assert_eq!(plan.route("a.example", "/x/long/1").expect("route").timeout, 900_000);
-    assert_eq!((plan.services.len(), plan.tenants.len()), (2, 0));
+    let snapshot = state.compile_snapshot().expect("plan");
+    assert_eq!(snapshot.route("a.example", "/x/long/1").expect("route").timeout, 900_000);
+    assert_eq!((snapshot.services.len(), snapshot.tenants.len()), (2, 0));
     // Another order under the same version is another order.
     let other = ConfigUpdate::parse(text.replace("900ms", "901ms").as_bytes(), false).expect("form");
     assert!(!state.has_applied(&other));
@@ -110,8 +110,8 @@
     #[case] path: &str,
     #[case] route: Option<&str>,
 ) {
-    let plan = state().compile_snapshot().expect("plan");
-    assert_eq!(plan.route(host, path).map(|r| r.name.as_str()), route);
+    let snapshot = state().compile_snapshot().expect("plan");
+    assert_eq!(snapshot.route(host, path).map(|r| r.name.as_str()), route);
 }
 
 #[rstest]
--- a/crates/control/service-registry/tests/reports.rs
+++ b/crates/control/service-registry/tests/reports.rs
@@ -46,14 +46,14 @@
     ];
     let now = 100 * SECOND;
     for seed in 0..24usize {
-        let mut watch = ServiceRegistry::default();
+        let mut registry = ServiceRegistry::default();
         let mut left: Vec<usize> = (0..4).chain([seed % 4, seed / 4 % 4]).collect();
         let mut at = seed;
         while !left.is_empty() {
             at = (at * 7 + 3) % left.len();
-            watch.observe(now, &reports[left.remove(at)]);
+            registry.observe(now, &reports[left.remove(at)]);
         }
-        let server = &watch.servers()["a"];
+        let server = &registry.servers()["a"];
         assert_eq!((server.phase, server.sequence), (Phase::Gone, 4), "seed {seed}");
     }
 }
@@ -63,52 +63,52 @@
 #[case(Phase::Draining)]
 #[case(Phase::Gone)]
 fn a_late_report_does_not_bring_back_a_life(#[case] phase: Phase) {
-    let mut watch = ServiceRegistry::default();
-    watch.observe(SECOND, &report("a", 5, phase));
-    assert_eq!(watch.observe(2 * SECOND, &report("a", 4, Phase::Ready)), Observation::Ignored);
-    assert_eq!(watch.servers()["a"].phase, phase);
+    let mut registry = ServiceRegistry::default();
+    registry.observe(SECOND, &report("a", 5, phase));
+    assert_eq!(registry.observe(2 * SECOND, &report("a", 4, Phase::Ready)), Observation::Ignored);
+    assert_eq!(registry.servers()["a"].phase, phase);
 }
 
 /// An address has one life at a time: a new one ends the one before it, and never the other way round.
 #[rstest]
 fn a_new_life_at_an_address_ends_the_one_before() {
-    let mut watch = ServiceRegistry::default();
-    watch.observe(SECOND, &report("old", 9, Phase::Ready));
-    watch.observe(5 * SECOND, &report("new", 1, Phase::Ready));
-    assert_eq!(watch.servers()["old"].phase, Phase::Gone);
-    watch.observe(6 * SECOND, &report("old", 8, Phase::Ready));
-    assert_eq!(watch.servers()["new"].phase, Phase::Ready);
+    let mut registry = ServiceRegistry::default();
+    registry.observe(SECOND, &report("old", 9, Phase::Ready));
+    registry.observe(5 * SECOND, &report("new", 1, Phase::Ready));
+    assert_eq!(registry.servers()["old"].phase, Phase::Gone);
+    registry.observe(6 * SECOND, &report("old", 8, Phase::Ready));
+    assert_eq!(registry.servers()["new"].phase, Phase::Ready);
 }
 
 /// Who falls silent is marked, and is back with its next report; a difference tells just that.
 #[rstest]
 fn silence_is_marked_and_taken_back() {
-    let mut watch = ServiceRegistry::default();
-    watch.observe(SECOND, &report("a", 1, Phase::Ready));
-    let before = watch.revision;
-    watch.expire(7 * SECOND, 5 * SECOND);
-    assert!(watch.servers()["a"].unresponsive);
-    assert_eq!(watch.changed_since(7 * SECOND, before).len(), 1);
-    assert_eq!(watch.observe(8 * SECOND, &report("a", 2, Phase::Ready)), Observation::Changed);
-    assert!(!watch.servers()["a"].unresponsive);
-    let before = watch.revision;
-    assert_eq!(watch.observe(9 * SECOND, &report("a", 3, Phase::Ready)), Observation::Refreshed);
-    assert!(watch.changed_since(9 * SECOND, before).is_empty(), "a mere beat is no news for limiters");
+    let mut registry = ServiceRegistry::default();
+    registry.observe(SECOND, &report("a", 1, Phase::Ready));
+    let before = registry.revision;
+    registry.expire(7 * SECOND, 5 * SECOND);
+    assert!(registry.servers()["a"].unresponsive);
+    assert_eq!(registry.changed_since(7 * SECOND, before).len(), 1);
+    assert_eq!(registry.observe(8 * SECOND, &report("a", 2, Phase::Ready)), Observation::Changed);
+    assert!(!registry.servers()["a"].unresponsive);
+    let before = registry.revision;
+    assert_eq!(registry.observe(9 * SECOND, &report("a", 3, Phase::Ready)), Observation::Refreshed);
+    assert!(registry.changed_since(9 * SECOND, before).is_empty(), "a mere beat is no news for limiters");
 }
 
 /// A limiter that goes from one teller to another whose list is not whole yet must not hold the rest to be silent for good
 /// (1 of 100 limiters in a scale run): the second teller's next word on a server ends the doubt, with a report that is known.
 #[rstest]
 fn a_doubt_ends_with_the_next_word_on_a_server() {
-    let mut watch = ServiceRegistry::default();
-    watch.observe(SECOND, &report("a", 3, Phase::Ready));
-    watch.flag_unlisted(|_| true);
-    assert!(watch.report(SECOND, "a").expect("known").unresponsive);
+    let mut registry = ServiceRegistry::default();
+    registry.observe(SECOND, &report("a", 3, Phase::Ready));
+    registry.flag_unlisted(|_| true);
+    assert!(registry.report(SECOND, "a").expect("known").unresponsive);
     assert_eq!(
-        watch.observe(2 * SECOND, &report("a", 2, Phase::Ready)),
+        registry.observe(2 * SECOND, &report("a", 2, Phase::Ready)),
         Observation::Ignored,
         "an older word is none"
     );
-    assert_eq!(watch.observe(2 * SECOND, &report("a", 3, Phase::Ready)), Observation::Changed);
-    assert!(!watch.report(SECOND, "a").expect("known").unresponsive);
+    assert_eq!(registry.observe(2 * SECOND, &report("a", 3, Phase::Ready)), Observation::Changed);
+    assert!(!registry.report(SECOND, "a").expect("known").unresponsive);
 }
--- a/crates/control/storage/examples/record_cost.rs
+++ b/crates/control/storage/examples/record_cost.rs
@@ -135,22 +135,22 @@
 fn records(size: usize) -> Result<(), Failed> {
     let (path, medium) = folder("records");
     let count = medium.1.clone();
-    let (mut vault, _) = StateStore::open(medium, 1, 1).map_err(|e| format!("{e:?}"))?;
+    let (mut store, _) = StateStore::open(medium, 1, 1).map_err(|e| format!("{e:?}"))?;
     let first = LogRecord { snapshot: Some((0, vec![0; size])), ..LogRecord::default() };
-    vault.write(&first)?;
+    store.write(&first)?;
     let begun = Instant::now();
     for slot in 1..=SLOTS {
         let votes = Acceptor { applied: slot, ..Acceptor::default() };
         let mut record =
             LogRecord { acceptor: votes, operations: vec![(slot, vec![slot as u8; OP])], snapshot: None };
-        if vault.snapshot_due() {
+        if store.snapshot_due() {
             record.operations.clear();
             record.snapshot = Some((slot, vec![slot as u8; size]));
         }
-        vault.write(&record)?;
+        store.write(&record)?;
     }
     tell("records", size, SLOTS, begun, &count);
-    drop(vault);
+    drop(store);
     let begun = Instant::now();
     drop(StateStore::open(Directory::new(&path), 1, 1).map_err(|e| format!("{e:?}"))?);
     println!("         opened again in {:.1} ms", begun.elapsed().as_secs_f64() * 1e3);
--- a/crates/control/storage/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -27,7 +27,7 @@
     StateStore::open(Disk::new(&folder.0), node, fresh).expect("opened")
 }
 
-fn voted(vault: &mut StateStore, life: u64) -> Acceptor {
+fn voted(store: &mut StateStore, life: u64) -> Acceptor {
     let mut acceptor = Acceptor { disk: life, ..Acceptor::default() };
     acceptor.advance(4);
     acceptor.accept(
@@ -38,18 +38,18 @@
     let votes = Acceptor { disk: life, applied: acceptor.applied, slot_state: acceptor.slot_state };
     let record =
         LogRecord { acceptor: votes.clone(), operations: Vec::new(), snapshot: Some((4, vec![9; 100])) };
-    vault.write(&record).expect("kept");
+    store.write(&record).expect("kept");
     votes
 }
 
 #[rstest]
 fn votes_and_state_outlive_the_process() {
     let folder = Folder::new("outlive");
-    let (mut vault, found) = open(&folder, 7, 42);
+    let (mut store, found) = open(&folder, 7, 42);
     assert!(found.is_new && found.acceptor.disk == 42);
-    let kept = voted(&mut vault, 42);
-    drop(vault);
-    let (_vault, found) = open(&folder, 7, 43);
+    let kept = voted(&mut store, 42);
+    drop(store);
+    let (_store, found) = open(&folder, 7, 43);
     assert!(!found.is_new);
     assert_eq!((found.acceptor.disk, found.acceptor.applied), (42, 4));
     assert_eq!((found.acceptor.slot_state, found.snapshot), (kept.slot_state, Some((4, vec![9; 100]))));
@@ -60,7 +60,7 @@
 fn a_file_without_votes_counts_as_empty() {
     let folder = Folder::new("unvoted");
     drop(open(&folder, 7, 42));
-    let (_vault, found) = open(&folder, 7, 43);
+    let (_store, found) = open(&folder, 7, 43);
     assert!(found.is_new && found.acceptor.disk == 42, "the same life goes on");
 }
 
@@ -70,11 +70,11 @@
 #[case::not_ours(|path: &PathBuf| std::fs::write(path, b"something else").expect("written"))]
 fn a_spoilt_file_is_set_aside_and_the_machine_has_lost_its_disk(#[case] spoil: fn(&PathBuf)) {
     let folder = Folder::new(&format!("spoilt-{:?}", spoil as usize));
-    let (mut vault, _) = open(&folder, 7, 42);
-    voted(&mut vault, 42);
-    drop(vault);
+    let (mut store, _) = open(&folder, 7, 42);
+    voted(&mut store, 42);
+    drop(store);
     spoil(&folder.0.join("state.redb"));
-    let (_vault, found) = open(&folder, 7, 43);
+    let (_store, found) = open(&folder, 7, 43);
     assert!(found.is_new && found.acceptor.applied == 0, "it holds nothing");
     assert_eq!(found.acceptor.disk, 43, "a new life, which holds no seat");
     assert!(folder.0.join("state.redb.aside").exists(), "kept for whoever looks into it");
@@ -83,9 +83,9 @@
 #[rstest]
 fn another_machines_file_is_not_used() {
     let folder = Folder::new("foreign");
-    let (mut vault, _) = open(&folder, 7, 42);
-    voted(&mut vault, 42);
-    drop(vault);
-    let (_vault, found) = open(&folder, 8, 43);
+    let (mut store, _) = open(&folder, 7, 42);
+    voted(&mut store, 42);
+    drop(store);
+    let (_store, found) = open(&folder, 8, 43);
     assert!(found.is_new && found.acceptor.applied == 0);
 }
--- a/crates/control/storage/tests/kept.rs
+++ b/crates/control/storage/tests/kept.rs
@@ -45,7 +45,7 @@
 #[rstest]
 fn a_file_of_landing_14_is_read() {
     let folder = Own::with("whole", FILE);
-    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
+    let (_store, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
     assert_eq!(found, expected());
 }
 
@@ -53,7 +53,7 @@
 #[rstest]
 fn a_torn_file_of_landing_14_is_set_aside() {
     let folder = Own::with("torn", &FILE[..FILE.len() / 2]);
-    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
+    let (_store, found) = StateStore::open(Directory::new(&folder.0), NODE, 99).expect("opened");
     assert!(found.is_new && found.acceptor.disk == 99);
     assert!(folder.0.join("state.redb.aside").exists());
 }
@@ -61,6 +61,6 @@
 #[rstest]
 fn another_machines_file_is_set_aside() {
     let folder = Own::with("foreign", FILE);
-    let (_vault, found) = StateStore::open(Directory::new(&folder.0), NODE + 1, 99).expect("opened");
+    let (_store, found) = StateStore::open(Directory::new(&folder.0), NODE + 1, 99).expect("opened");
     assert!(found.is_new && found.acceptor.disk == 99);
 }
--- a/crates/control/storage/tests/log/faults.rs
+++ b/crates/control/storage/tests/log/faults.rs
@@ -8,15 +8,15 @@
 
 /// Runs the script; the pictures that may be on disk.
 fn run(sim: &Sim) -> Vec<Picture> {
-    let Ok((mut vault, found)) = StateStore::open(sim.clone(), NODE, 42) else {
+    let Ok((mut store, found)) = StateStore::open(sim.clone(), NODE, 42) else {
         return vec![Picture::default()];
     };
-    crate::script::run(&mut vault, found.acceptor.disk, |_| {}, || sim.ended())
+    crate::script::run(&mut store, found.acceptor.disk, |_| {}, || sim.ended())
 }
 
 fn check(sim: &Sim, loss: Loss, may: &[Picture], what: &str) {
     let next = sim.after(loss, Trouble::None);
-    let (_vault, found) = StateStore::open(next, NODE, 43).unwrap_or_else(|e| panic!("{what}: {e:?}"));
+    let (_store, found) = StateStore::open(next, NODE, 43).unwrap_or_else(|e| panic!("{what}: {e:?}"));
     assert!(may.iter().any(|p| p.fits(&found)), "{what}: may be {may:?}, found {found:?}");
     let voted = may.iter().all(|p| p.end > 0);
     assert!(!(voted && found.is_new), "{what}: taken for an empty disk");
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -92,9 +92,9 @@
     let (Ok(folder), Ok(step)) = (std::env::var(FOLDER), std::env::var(STEP)) else { return };
     let fuse = Fuse(Arc::new(AtomicUsize::new(step.parse().expect("a number"))));
     let medium = Fused(Directory::new(&PathBuf::from(folder)), fuse);
-    let (mut vault, found) = StateStore::open(medium, NODE, 42).expect("made");
+    let (mut store, found) = StateStore::open(medium, NODE, 42).expect("made");
     println!();
-    script::run(&mut vault, found.acceptor.disk, |group| println!("told {group}"), || false);
+    script::run(&mut store, found.acceptor.disk, |group| println!("told {group}"), || false);
 }
 
 /// Runs the child to its step; the last group that it told as written, and whether it got there.
@@ -135,10 +135,10 @@
         let _ = std::fs::remove_dir_all(&folder);
         let (told, here) = killed_at(&folder, step);
         let done = told.map_or(0, |group| group + 1);
-        let (vault, found) = StateStore::open(Directory::new(&folder), NODE, 42).expect("opened");
+        let (store, found) = StateStore::open(Directory::new(&folder), NODE, 42).expect("opened");
         let may = &after[done..after.len().min(done + 2)];
         assert!(may.iter().any(|p| p.fits(&found)), "killed at {step}: {done} told, found {found:?}");
-        drop(vault);
+        drop(store);
         if !here {
             assert_eq!(done, script::groups().len(), "the script runs to its end");
             break;
--- a/crates/control/storage/tests/log/rules.rs
+++ b/crates/control/storage/tests/log/rules.rs
@@ -32,9 +32,9 @@
 
 /// A file with a snapshot of slot 10 and operations up to 15.
 fn at_15(sim: &Sim) -> StateStore {
-    let (mut vault, _) = StateStore::open(sim.clone(), NODE, 42).expect("made");
-    assert_eq!(vault.write_all(&[snapshot(10, 100), ops(11, 15, 9)]), [Ok(()), Ok(())]);
-    vault
+    let (mut store, _) = StateStore::open(sim.clone(), NODE, 42).expect("made");
+    assert_eq!(store.write_all(&[snapshot(10, 100), ops(11, 15, 9)]), [Ok(()), Ok(())]);
+    store
 }
 
 #[rstest]
@@ -49,14 +49,14 @@
     #[case] error: StorageError,
 ) {
     let sim = Sim::new(Trouble::None);
-    let mut vault = at_15(&sim);
-    assert_eq!(vault.write(&wrong), Err(error));
+    let mut store = at_15(&sim);
+    assert_eq!(store.write(&wrong), Err(error));
     // Nothing builds on a record that is missing.
-    assert_eq!(vault.write(&ops(16, 16, 9)), Err(StorageError::SnapshotRequired));
-    assert_eq!(vault.write(&snapshot(14, 100)), Err(StorageError::OutOfOrder), "less than all that counts");
-    let answers = vault.write_all(&[ops(16, 16, 9), snapshot(16, 100), ops(17, 17, 9)]);
+    assert_eq!(store.write(&ops(16, 16, 9)), Err(StorageError::SnapshotRequired));
+    assert_eq!(store.write(&snapshot(14, 100)), Err(StorageError::OutOfOrder), "less than all that counts");
+    let answers = store.write_all(&[ops(16, 16, 9), snapshot(16, 100), ops(17, 17, 9)]);
     assert_eq!(answers, [Err(StorageError::SnapshotRequired), Ok(()), Ok(())]);
-    drop(vault);
+    drop(store);
     let (_, found) = StateStore::open(sim, NODE, 43).expect("opened");
     assert_eq!((found.snapshot, found.operations), (Some((16, state(16, 100))), vec![(17, op(17, 9))]));
 }
@@ -123,7 +123,7 @@
         let next = sim.after(Loss::Killed, Trouble::End(at));
         drop(StateStore::open(next.clone(), NODE, 43));
         let next = next.after(Loss::Some(at as u64), Trouble::None);
-        let (mut vault, found) = StateStore::open(next, NODE, 43).expect("opened");
+        let (mut store, found) = StateStore::open(next, NODE, 43).expect("opened");
         assert!(!found.is_new);
         // Seats of that time named machines only: a disk that voted is of the first life.
         assert_eq!(
@@ -132,7 +132,7 @@
             "ended at {at}"
         );
         assert_eq!((found.snapshot, found.operations), (Some((4, vec![9; 100_000])), vec![]));
-        assert_eq!(vault.write(&ops(5, 6, 9)), Ok(()));
+        assert_eq!(store.write(&ops(5, 6, 9)), Ok(()));
     }
 }
 
@@ -141,7 +141,7 @@
 #[case::without_a_vote(1, false, false)]
 fn a_file_that_gives_no_vote_counts_as_empty(#[case] format: u32, #[case] votes: bool, #[case] aside: bool) {
     let (sim, _) = before(format, votes);
-    let (_vault, found) = StateStore::open(sim.clone(), NODE, 43).expect("opened");
+    let (_store, found) = StateStore::open(sim.clone(), NODE, 43).expect("opened");
     assert!(found.is_new);
     assert_eq!((sim.aside(), found.acceptor.disk), (aside, if aside { 43 } else { 77 }));
 }
@@ -154,27 +154,27 @@
 #[case::shrinks_much(16_000_000, 20_000)]
 fn log_and_file_stay_within_their_bounds(#[case] first: usize, #[case] later: usize) {
     let sim = Sim::new(Trouble::None);
-    let (mut vault, _) = StateStore::open(sim.clone(), NODE, 42).expect("made");
-    assert_eq!(vault.write(&snapshot(1, first)), Ok(()));
+    let (mut store, _) = StateStore::open(sim.clone(), NODE, 42).expect("made");
+    assert_eq!(store.write(&snapshot(1, first)), Ok(()));
     let (mut count, mut bytes, mut most) = (0, 0, 0);
     for group in (2..5_002).collect::<Vec<u64>>().chunks(8) {
         let (from, to) = (group[0], group[7]);
         let mut record = ops(from, to, 700);
         (count, bytes) = (count + 8, bytes + 8 * 700);
-        if vault.snapshot_due() {
+        if store.snapshot_due() {
             record = snapshot(to, later);
             (count, bytes) = (0, 0);
         }
-        assert_eq!(vault.write(&record), Ok(()));
+        assert_eq!(store.write(&record), Ok(()));
         assert!(
             count < SNAPSHOT_AFTER_OPERATIONS + 8 && bytes < SNAPSHOT_AFTER_BYTES.max(first) + 8 * 700,
             "{count} operations"
         );
-        most = most.max(vault.size());
+        most = most.max(store.size());
     }
     let holds = (first.max(later) + SNAPSHOT_AFTER_OPERATIONS * 700) as u64;
     assert!(most <= COMPACTION_MIN_BYTES.max(COMPACTION_RATIO * holds), "{most} bytes for {holds}");
     let end = COMPACTION_MIN_BYTES.max(COMPACTION_RATIO * (later + SNAPSHOT_AFTER_OPERATIONS * 700) as u64);
-    assert!(vault.size() <= end, "{} bytes at the end", vault.size());
-    eprintln!("most {most}, holds {holds}, end {}", vault.size());
+    assert!(store.size() <= end, "{} bytes at the end", store.size());
+    eprintln!("most {most}, holds {holds}, end {}", store.size());
 }
--- a/crates/control/storage/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -118,7 +118,7 @@
 /// Runs the script as a machine does, until its end or until `ended`. Returns the pictures that may be on disk: the last that was
 /// acknowledged, and those since.
 pub(crate) fn run(
-    vault: &mut StateStore,
+    store: &mut StateStore,
     life: u64,
     mut told: impl FnMut(usize),
     ended: impl Fn() -> bool,
@@ -126,10 +126,10 @@
     let mut memory = Picture { life, ..Picture::default() };
     let mut may = vec![memory.clone()];
     for (at, group) in groups().iter().enumerate() {
-        let whole = vault.needs_snapshot();
+        let whole = store.needs_snapshot();
         let records: Vec<_> =
             group.iter().enumerate().map(|(n, step)| memory.record(step, whole && n == 0)).collect();
-        let answers = vault.write_all(&records);
+        let answers = store.write_all(&records);
         assert!(answers.iter().all(|a| *a == answers[0]), "one transaction: {answers:?}");
         if answers[0].is_ok() {
             may.clear();
--- a/crates/control/storage/tests/log/sim.rs
+++ b/crates/control/storage/tests/log/sim.rs
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 struct Handle(Sim, usize);
 
-/// Chance by a seed (xorshift).
+/// Rng by a seed (xorshift).
 struct Dice(u64);
 
 impl Dice {
--- a/crates/data/quota/tests/bound.rs
+++ b/crates/data/quota/tests/bound.rs
@@ -11,9 +11,9 @@
 const RULE: QuotaRule = QuotaRule { span: 5_000_000, overshoot: 0.1, slack: 20.0 };
 const DOORS: usize = 6;
 
-struct Chance(u64);
+struct Rng(u64);
 
-impl Chance {
+impl Rng {
     fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -53,14 +53,14 @@
 
 /// A limiter as the drill keeps it.
 struct Door {
-    desk: LeaseClient,
+    client: LeaseClient,
     life: u64,
     offset: Micros,
 }
 
 impl Door {
     fn new(life: u64, offset: Micros) -> Self {
-        Door { desk: LeaseClient::new(RULE.window_length(), life), life, offset }
+        Door { client: LeaseClient::new(RULE.window_length(), life), life, offset }
     }
 }
 
@@ -74,12 +74,11 @@
 #[allow(clippy::too_many_lines, reason = "one schedule, read from top to bottom")]
 fn play(seed: u64, rate: f64, load: f64, day: Day) -> (u32, f64) {
     let span: WindowBudget = RULE.window_budget(rate, rate).expect("limited");
-    let mut chance = Chance(seed);
+    let mut rng = Rng(seed);
     let mut lives = 1u64;
     // Each limiter's clock is off by its own amount.
-    let mut all: Vec<Door> = (0..DOORS as u64)
-        .map(|life| Door::new(life + 1_000, 1_000_000_000 + chance.below(5_000_000)))
-        .collect();
+    let mut all: Vec<Door> =
+        (0..DOORS as u64).map(|life| Door::new(life + 1_000, 1_000_000_000 + rng.below(5_000_000))).collect();
     let doors: BTreeSet<u32> = (0..DOORS as u32).collect();
     let mut now: Micros = 2_000_000_000;
     // The two machines that may hold the count, with the lives of their processes; which one does, and the life of the count.
@@ -95,8 +94,8 @@
     let mut next = now;
     while now < end {
         now += 2_000;
-        let dies = day.holder_dies > 0 && chance.below(day.holder_dies / 2) == 0;
-        let moves = day.moves > 0 && chance.below(day.moves / 2) == 0;
+        let dies = day.holder_dies > 0 && rng.below(day.holder_dies / 2) == 0;
+        let moves = day.moves > 0 && rng.below(day.moves / 2) == 0;
         if (dies || moves) && calm == 0 {
             // The next holder starts once the last one has surely ended, and one window later.
             term += 1;
@@ -118,11 +117,11 @@
             cut_until = if day.cut { now + 6_000_000 } else { 0 };
         }
         calm = u64::saturating_sub(calm, 1);
-        if day.deaf && chance.below(4_000) == 0 {
+        if day.deaf && rng.below(4_000) == 0 {
             deaf_until = now + 4_000_000;
         }
-        if day.doors_die && chance.below(3_000) == 0 {
-            let at = chance.below(DOORS as u64) as usize;
+        if day.doors_die && rng.below(3_000) == 0 {
+            let at = rng.below(DOORS as u64) as usize;
             lives += 1;
             all[at] = Door::new(lives, all[at].offset);
         }
@@ -131,53 +130,53 @@
             Some(machines[if other { 1 - holds } else { holds }])
         };
         while next <= now {
-            next += gap / 2 + chance.below(gap.max(1));
+            next += gap / 2 + rng.below(gap.max(1));
             desired += 1;
-            let at = chance.below(DOORS as u64) as usize;
+            let at = rng.below(DOORS as u64) as usize;
             let door = &mut all[at];
-            match door.desk.take(now + door.offset, "t", 0, view(at), span) {
+            match door.client.take(now + door.offset, "t", 0, view(at), span) {
                 UnitResult::Granted => passed.push(now),
                 UnitResult::Wait => {
-                    door.desk.enqueue(now + door.offset, "t", span);
+                    door.client.enqueue(now + door.offset, "t", span);
                 }
                 UnitResult::Exhausted(_) => {}
             }
         }
         for (at, door) in all.iter_mut().enumerate() {
-            let (errands, resolved) = door.desk.poll(now + door.offset, &[view(at)], at == 0);
+            let (requests, resolved) = door.client.poll(now + door.offset, &[view(at)], at == 0);
             passed.extend(std::iter::repeat_n(now, units(&resolved)));
-            for errand in errands {
-                let lost = chance.below(20) == 0 || at < 2 && now < cut_until;
-                let late = if day.late && chance.below(10) == 0 { chance.below(3_000_000) } else { 0 };
+            for request in requests {
+                let lost = rng.below(20) == 0 || at < 2 && now < cut_until;
+                let late = if day.late && rng.below(10) == 0 { rng.below(3_000_000) } else { 0 };
                 if !lost {
-                    asks.push((now + 500 + chance.below(60_000) + late, at, door.life, errand.clone()));
+                    asks.push((now + 500 + rng.below(60_000) + late, at, door.life, request.clone()));
                 }
-                answers.push((now + 320_000, at, door.life, (errand, RequestOutcome::TimedOut)));
+                answers.push((now + 320_000, at, door.life, (request, RequestOutcome::TimedOut)));
             }
         }
         let (due, later) = asks.drain(..).partition(|a| a.0 <= now);
         asks = later;
-        for (_, at, life, errand) in due {
-            let asked = Holder { node: errand.node, incarnation: errand.incarnation };
+        for (_, at, life, request) in due {
+            let asked = Holder { node: request.node, incarnation: request.incarnation };
             if !machines.contains(&asked) {
                 continue;
             }
             let mut told = Vec::new();
-            for request in errand.requests.iter().filter(|_| asked == machines[holds]) {
+            for request in request.requests.iter().filter(|_| asked == machines[holds]) {
                 told.extend(count.handle(now, now + BLOCK_LIFETIME, at as u32, request, |_| Some(span)));
             }
-            if chance.below(20) > 0 && !(at < 2 && now < deaf_until) {
-                let arrives = now + 500 + chance.below(160_000);
-                answers.push((arrives, at, life, (errand, RequestOutcome::Answered(told))));
+            if rng.below(20) > 0 && !(at < 2 && now < deaf_until) {
+                let arrives = now + 500 + rng.below(160_000);
+                answers.push((arrives, at, life, (request, RequestOutcome::Answered(told))));
             }
         }
         let (due, later): (Vec<_>, _) = answers.drain(..).partition(|a| a.0 <= now);
         answers = later;
-        for (_, at, life, (errand, outcome)) in due {
+        for (_, at, life, (request, outcome)) in due {
             let door = &mut all[at];
             // What was asked by a process that has ended has nobody to go to. A call ends once.
-            if door.life == life && now + door.offset <= errand.sent + 322_000 {
-                let resolved = door.desk.handle_outcome(now + door.offset, &errand, &outcome);
+            if door.life == life && now + door.offset <= request.sent + 322_000 {
+                let resolved = door.client.handle_outcome(now + door.offset, &request, &outcome);
                 passed.extend(std::iter::repeat_n(now, units(&resolved)));
             }
         }
--- a/crates/data/quota/tests/lease_client.rs
+++ b/crates/data/quota/tests/lease_client.rs
@@ -26,14 +26,14 @@
     Counter::new(START, term, RULE.window_length(), &BTreeSet::from([0, 1]), true)
 }
 
-fn desk(life: u64) -> LeaseClient {
+fn client(life: u64) -> LeaseClient {
     LeaseClient::new(RULE.window_length(), life)
 }
 
-/// What a holder of a count answers to an errand of a limiter.
-fn answers(count: &mut Counter, now: Micros, node: u32, errand: &OutgoingRequest) -> RequestOutcome {
+/// What a holder of a count answers to an request of a limiter.
+fn answers(count: &mut Counter, now: Micros, node: u32, request: &OutgoingRequest) -> RequestOutcome {
     let answer = |r| count.handle(now, now + BLOCK_LIFETIME, node, r, |_| Some(span()));
-    RequestOutcome::Answered(errand.requests.iter().filter_map(answer).collect())
+    RequestOutcome::Answered(request.requests.iter().filter_map(answer).collect())
 }
 
 /// What a holder says that is of no use.
@@ -52,11 +52,11 @@
 }
 
 impl Says {
-    fn outcome(self, errand: &OutgoingRequest, nth: u64) -> RequestOutcome {
+    fn outcome(self, request: &OutgoingRequest, nth: u64) -> RequestOutcome {
         let answer = |term: u64, phase: u64, unknown: bool| {
             let phase = WindowPhase { counter: phase, window: 1, remaining: 500_000 };
             RequestOutcome::Answered(
-                errand
+                request
                     .requests
                     .iter()
                     .map(|r| QuotaResponse {
@@ -94,49 +94,49 @@
 #[case::no_tenant(Says::NoTenant, MIN_INTERVAL)]
 fn a_holder_that_is_of_no_use_is_asked_at_a_bounded_rate(#[case] says: Says, #[case] gap: Micros) {
     for flips in [false, true] {
-        let (mut desk, mut asked, mut under_way) = (desk(5), 0, Vec::<(Micros, OutgoingRequest)>::new());
+        let (mut client, mut asked, mut under_way) = (client(5), 0, Vec::<(Micros, OutgoingRequest)>::new());
         for now in (START..START + 10 * SECOND).step_by(1_000) {
             let holder = Some(if flips && now / 170_000 % 2 == 1 { B } else { A });
-            if now % 5_000 == 0 && desk.take(now, "t", 0, holder, span()) == UnitResult::Wait {
-                desk.enqueue(now, "t", span());
+            if now % 5_000 == 0 && client.take(now, "t", 0, holder, span()) == UnitResult::Wait {
+                client.enqueue(now, "t", span());
             }
-            let (errands, _) = desk.poll(now, &[holder], true);
-            asked += errands.len() as u64;
-            under_way.extend(errands.into_iter().map(|e| (now + 1_000, e)));
-            for (_, errand) in under_way.extract_if(.., |(at, _)| *at <= now) {
-                desk.handle_outcome(now, &errand, &says.outcome(&errand, asked + 10));
+            let (requests, _) = client.poll(now, &[holder], true);
+            asked += requests.len() as u64;
+            under_way.extend(requests.into_iter().map(|e| (now + 1_000, e)));
+            for (_, request) in under_way.extract_if(.., |(at, _)| *at <= now) {
+                client.handle_outcome(now, &request, &says.outcome(&request, asked + 10));
             }
         }
         let most = if flips { MIN_INTERVAL } else { gap };
         assert!(asked <= 10 * SECOND / most + BURST + 1, "{says:?}, flips {flips}: {asked} asks in 10 s");
         assert!(asked >= 10, "{says:?}, flips {flips}: it gives up");
         let held = (UNIT_TIMEOUT / 5_000) as usize + 1;
-        assert!(desk.waiting() <= held, "{says:?}: {} requests are held", desk.waiting());
+        assert!(client.waiting() <= held, "{says:?}: {} requests are held", client.waiting());
     }
 }
 
 /// The trap of issue 40: another machine was taken for the holder for a moment, and from then on no grant was used.
 #[rstest]
 fn a_holder_that_is_found_again_is_used() {
-    let (mut desk, mut count) = (desk(5), count(3));
+    let (mut client, mut count) = (client(5), count(3));
     for step in 0..1_000u64 {
         let now = START + step * 10_000;
         // The other one is believed in for a tenth of a second.
         let holder = if (50..60).contains(&step) { B } else { A };
-        if desk.take(now, "t", 0, Some(holder), span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, Some(holder), span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[Some(holder)], true).0 {
-            let outcome = match (Holder { node: errand.node, incarnation: errand.incarnation }) {
-                A => answers(&mut count, now, 0, &errand),
+        for request in client.poll(now, &[Some(holder)], true).0 {
+            let outcome = match (Holder { node: request.node, incarnation: request.incarnation }) {
+                A => answers(&mut count, now, 0, &request),
                 _ => RequestOutcome::Answered(Vec::new()),
             };
-            desk.handle_outcome(now, &errand, &outcome);
+            client.handle_outcome(now, &request, &outcome);
         }
     }
-    let held = desk.describe(START + 10 * SECOND);
+    let held = client.describe(START + 10 * SECOND);
     assert!(!held.contains("left 0 ms"), "{held}");
-    assert_eq!(desk.waiting(), 0);
+    assert_eq!(client.waiting(), 0);
 }
 
 /// What limiters see of two core machines while one is cut off.
@@ -162,7 +162,7 @@
     let mut first = Counter::new(START, 3, RULE.window_length(), &doors, true);
     let mut second = None;
     let (cut_at, heal) = (START + 3 * SECOND, START + 23 * SECOND);
-    let mut desks: Vec<LeaseClient> = (0..LIMITERS).map(|n| desk(100 + u64::from(n))).collect();
+    let mut clients: Vec<LeaseClient> = (0..LIMITERS).map(|n| client(100 + u64::from(n))).collect();
     let mut leased = vec![None; LIMITERS as usize];
     let mut under_way: Vec<(Micros, u32, OutgoingRequest)> = Vec::new();
     for now in (START..heal + 3 * SECOND).step_by(2_000) {
@@ -173,11 +173,11 @@
         let is_cut = (cut_at..heal).contains(&now);
         let flip = is_cut && cut.flips > 0 && now / 1_000 / cut.flips.max(1) % 2 == 1;
         let holder = if is_cut && !flip { A } else { held };
-        for (n, desk) in (0..).zip(&mut desks) {
+        for (n, client) in (0..).zip(&mut clients) {
             if (now / 2_000 + u64::from(n)) % 50 == 0 {
-                match desk.take(now, "t", 0, Some(holder), span()) {
+                match client.take(now, "t", 0, Some(holder), span()) {
                     UnitResult::Wait => {
-                        desk.enqueue(now, "t", span());
+                        client.enqueue(now, "t", span());
                     }
                     UnitResult::Granted if now >= heal => {
                         leased[n as usize].get_or_insert(now - heal);
@@ -185,24 +185,24 @@
                     _ => {}
                 }
             }
-            let (errands, resolved) = desk.poll(now, &[Some(holder)], n == 0);
+            let (requests, resolved) = client.poll(now, &[Some(holder)], n == 0);
             if now >= heal && resolved.iter().any(|resolved| resolved.result.is_ok()) {
                 leased[n as usize].get_or_insert(now - heal);
             }
             let far = if is_cut { 1_000 } else { 1_000 + 20_000 * Micros::from(n) };
-            under_way.extend(errands.into_iter().map(|e| (now + far, n, e)));
+            under_way.extend(requests.into_iter().map(|e| (now + far, n, e)));
         }
-        for (_, n, errand) in under_way.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, n, request) in under_way.extract_if(.., |(at, ..)| *at <= now) {
             let count = if held == A { Some(&mut first) } else { second.as_mut() };
             let outcome = match count {
                 Some(count)
-                    if !is_cut && Holder { node: errand.node, incarnation: errand.incarnation } == held =>
+                    if !is_cut && Holder { node: request.node, incarnation: request.incarnation } == held =>
                 {
-                    answers(count, now, n, &errand)
+                    answers(count, now, n, &request)
                 }
                 _ => (cut.outcome)(),
             };
-            let resolved = desks[n as usize].handle_outcome(now, &errand, &outcome);
+            let resolved = clients[n as usize].handle_outcome(now, &request, &outcome);
             if now >= heal && resolved.iter().any(|resolved| resolved.result.is_ok()) {
                 leased[n as usize].get_or_insert(now - heal);
             }
@@ -215,16 +215,16 @@
 
 #[rstest]
 fn another_holder_ends_the_pause() {
-    let mut desk = desk(5);
+    let mut client = client(5);
     let mut now = START;
     while now < START + 5 * SECOND {
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            desk.handle_outcome(now, &errand, &RequestOutcome::Unreachable);
+        for request in client.poll(now, &[Some(A)], true).0 {
+            client.handle_outcome(now, &request, &RequestOutcome::Unreachable);
             // The pause has just begun.
             if now > START + 4 * SECOND {
-                assert_eq!(desk.poll(now, &[Some(A)], true).0, []);
-                let errands = desk.poll(now + 1_000, &[Some(B)], true).0;
-                assert_eq!(errands.iter().map(|e| e.node).collect::<Vec<_>>(), [B.node]);
+                assert_eq!(client.poll(now, &[Some(A)], true).0, []);
+                let requests = client.poll(now + 1_000, &[Some(B)], true).0;
+                assert_eq!(requests.iter().map(|e| e.node).collect::<Vec<_>>(), [B.node]);
                 return;
             }
         }
@@ -236,30 +236,30 @@
 /// A holder that says no for a second: requests are refused, and one in a while finds out whether that has changed.
 #[rstest]
 fn requests_are_not_held_for_asks_in_vain() {
-    let (mut desk, mut held) = (desk(5), 0);
+    let (mut client, mut held) = (client(5), 0);
     for now in (START..START + 5 * SECOND).step_by(5_000) {
-        if desk.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            desk.handle_outcome(now, &errand, &RequestOutcome::Answered(Vec::new()));
+        for request in client.poll(now, &[Some(A)], true).0 {
+            client.handle_outcome(now, &request, &RequestOutcome::Answered(Vec::new()));
         }
         if now > START + SECOND {
-            held = held.max(desk.waiting());
+            held = held.max(client.waiting());
         }
     }
     assert_eq!(held, 0);
 }
 
 /// Five seconds of steady use. When they end.
-fn used(desk: &mut LeaseClient, count: &mut Counter) -> Micros {
+fn used(client: &mut LeaseClient, count: &mut Counter) -> Micros {
     for now in (START..START + 5 * SECOND).step_by(20_000) {
-        if desk.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            let outcome = answers(count, now, 0, &errand);
-            desk.handle_outcome(now, &errand, &outcome);
+        for request in client.poll(now, &[Some(A)], true).0 {
+            let outcome = answers(count, now, 0, &request);
+            client.handle_outcome(now, &request, &outcome);
         }
     }
     START + 5 * SECOND
@@ -268,56 +268,56 @@
 /// What is given up is the count's to grant as soon as it hears of it, whether it is heard again or not.
 #[rstest]
 fn what_is_given_up_is_not_spent() {
-    let (mut desk, mut count) = (desk(5), count(3));
-    let now = used(&mut desk, &mut count) + 4 * RULE.window_length();
-    let ask = desk.poll(now, &[Some(A)], true).0[0].requests[0].tenants[0].clone();
+    let (mut client, mut count) = (client(5), count(3));
+    let now = used(&mut client, &mut count) + 4 * RULE.window_length();
+    let ask = client.poll(now, &[Some(A)], true).0[0].requests[0].tenants[0].clone();
     assert_eq!((ask.desired, ask.held), (0, 0));
-    assert_eq!(desk.take(now, "t", 0, Some(A), span()), UnitResult::Wait);
+    assert_eq!(client.take(now, "t", 0, Some(A), span()), UnitResult::Wait);
 }
 
 /// The limiter may be in a window that begins only later where the count is: what it has had of it is not free.
 #[rstest]
 fn what_was_had_of_a_window_is_told_when_less_is_asked_for() {
-    let (mut desk, mut count) = (desk(5), count(3));
-    let now = used(&mut desk, &mut count) + 4 * RULE.window_length();
+    let (mut client, mut count) = (client(5), count(3));
+    let now = used(&mut client, &mut count) + 4 * RULE.window_length();
     // Some windows without a request and without a look, and then many at once.
-    let taken = (0..60).map(|_| desk.take(now, "t", 0, Some(A), span()));
+    let taken = (0..60).map(|_| client.take(now, "t", 0, Some(A), span()));
     let had = taken.filter(|t| *t == UnitResult::Granted).count() as u32;
-    let (errands, _) = desk.poll(now, &[Some(A)], true);
-    let ask = &errands[0].requests[0].tenants[0];
+    let (requests, _) = client.poll(now, &[Some(A)], true);
+    let ask = &requests[0].requests[0].tenants[0];
     assert!(ask.desired > 0 && ask.desired < had && ask.held >= had, "{had} had, {ask:?}");
 }
 
 #[rstest]
 fn a_request_that_is_dropped_is_asked_for_no_more() {
-    let (mut desk, mut count) = (desk(5), count(3));
-    assert_eq!(desk.take(START, "t", 0, Some(A), span()), UnitResult::Wait);
-    let ticket = desk.enqueue(START, "t", span());
-    desk.abandon(ticket);
+    let (mut client, mut count) = (client(5), count(3));
+    assert_eq!(client.take(START, "t", 0, Some(A), span()), UnitResult::Wait);
+    let ticket = client.enqueue(START, "t", span());
+    client.abandon(ticket);
     let mut extra = 0;
     for step in 0..500u64 {
         let now = START + step * 1_000;
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            extra += errand.requests.iter().flat_map(|r| &r.tenants).map(|a| a.extra).sum::<u32>();
-            let outcome = answers(&mut count, now, 0, &errand);
-            desk.handle_outcome(now, &errand, &outcome);
+        for request in client.poll(now, &[Some(A)], true).0 {
+            extra += request.requests.iter().flat_map(|r| &r.tenants).map(|a| a.extra).sum::<u32>();
+            let outcome = answers(&mut count, now, 0, &request);
+            client.handle_outcome(now, &request, &outcome);
         }
     }
-    assert_eq!((extra, desk.waiting()), (0, 0));
+    assert_eq!((extra, client.waiting()), (0, 0));
 }
 
-/// Asks a count until it knows the limiter and has granted what it wants. What the last errand was.
-fn lease(desk: &mut LeaseClient, count: &mut Counter, now: Micros, node: u32) -> OutgoingRequest {
+/// Asks a count until it knows the limiter and has granted what it wants. What the last request was.
+fn lease(client: &mut LeaseClient, count: &mut Counter, now: Micros, node: u32) -> OutgoingRequest {
     let mut last = None;
     for step in 0..4 {
         let now = now + step * 1_000;
-        if desk.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            let outcome = answers(count, now, node, &errand);
-            desk.handle_outcome(now, &errand, &outcome);
-            last = Some(errand);
+        for request in client.poll(now, &[Some(A)], true).0 {
+            let outcome = answers(count, now, node, &request);
+            client.handle_outcome(now, &request, &outcome);
+            last = Some(request);
         }
     }
     last.expect("it asks")
@@ -327,23 +327,23 @@
 #[case::windows_are_known(true)]
 #[case::windows_are_not_known(false)]
 fn a_late_answer_counts_where_windows_are_known(#[case] known: bool) {
-    let (mut desk, mut count, mut now) = (desk(5), count(3), START);
+    let (mut client, mut count, mut now) = (client(5), count(3), START);
     if known {
-        lease(&mut desk, &mut count, now, 0);
+        lease(&mut client, &mut count, now, 0);
         now += BLOCK_LIFETIME + SECOND;
     }
-    desk.take(now, "t", 0, Some(A), span());
-    desk.enqueue(now, "t", span());
+    client.take(now, "t", 0, Some(A), span());
+    client.enqueue(now, "t", span());
     let mut units = 0;
     for _ in 0..3 {
-        let (errands, resolved) = desk.poll(now, &[Some(A)], true);
+        let (requests, resolved) = client.poll(now, &[Some(A)], true);
         units += resolved.iter().filter(|resolved| resolved.result.is_ok()).count();
         let asked = now;
         now += 310_000;
-        for errand in errands {
-            let outcome = answers(&mut count, asked, 0, &errand);
-            units += desk
-                .handle_outcome(now, &errand, &outcome)
+        for request in requests {
+            let outcome = answers(&mut count, asked, 0, &request);
+            units += client
+                .handle_outcome(now, &request, &outcome)
                 .iter()
                 .filter(|resolved| resolved.result.is_ok())
                 .count();
@@ -355,42 +355,42 @@
 /// A grant that was asked for before another count was told what is held is none that this one knows of.
 #[rstest]
 fn a_grant_from_before_the_last_telling_is_not_used() {
-    let (mut desk, mut old, mut new) = (desk(5), count(3), count(4));
-    lease(&mut desk, &mut old, START, 0);
+    let (mut client, mut old, mut new) = (client(5), count(3), count(4));
+    lease(&mut client, &mut old, START, 0);
     let now = START + 4 * SECOND;
     // An ask to renew is under way when the count goes to another machine, which is told what is held.
-    let (errands, _) = desk.poll(now, &[Some(A)], true);
-    let outcome = answers(&mut old, now, 0, &errands[0]);
+    let (requests, _) = client.poll(now, &[Some(A)], true);
+    let outcome = answers(&mut old, now, 0, &requests[0]);
     let mut told = 0;
     for step in 1..4 {
-        for errand in desk.poll(now + step * 1_000, &[Some(B)], true).0 {
-            let outcome = answers(&mut new, now, 0, &errand);
-            told += errand.requests.iter().filter(|r| r.blocks.is_some()).count();
-            desk.handle_outcome(now + step * 1_000, &errand, &outcome);
+        for request in client.poll(now + step * 1_000, &[Some(B)], true).0 {
+            let outcome = answers(&mut new, now, 0, &request);
+            told += request.requests.iter().filter(|r| r.blocks.is_some()).count();
+            client.handle_outcome(now + step * 1_000, &request, &outcome);
         }
     }
-    let before = desk.describe(now + 5_000);
-    desk.handle_outcome(now + 5_000, &errands[0], &outcome);
-    assert_eq!((told, desk.describe(now + 5_000)), (1, before));
+    let before = client.describe(now + 5_000);
+    client.handle_outcome(now + 5_000, &requests[0], &outcome);
+    assert_eq!((told, client.describe(now + 5_000)), (1, before));
 }
 
 #[rstest]
 fn an_answer_to_an_ask_before_the_last_is_not_used() {
-    let (mut desk, mut count) = (desk(5), count(3));
-    lease(&mut desk, &mut count, START, 0);
+    let (mut client, mut count) = (client(5), count(3));
+    lease(&mut client, &mut count, START, 0);
     let now = START + 4 * SECOND;
-    desk.take(now, "t", 0, Some(A), span());
-    let first = desk.poll(now, &[Some(A)], true).0;
+    client.take(now, "t", 0, Some(A), span());
+    let first = client.poll(now, &[Some(A)], true).0;
     let late = answers(&mut count, now, 0, &first[0]);
     // It is held to be lost, and is made again.
     let now = now + SECOND / 2;
-    desk.take(now, "t", 0, Some(A), span());
-    let second = desk.poll(now, &[Some(A)], true).0;
+    client.take(now, "t", 0, Some(A), span());
+    let second = client.poll(now, &[Some(A)], true).0;
     let outcome = answers(&mut count, now, 0, &second[0]);
-    desk.handle_outcome(now, &second[0], &outcome);
-    let before = desk.describe(now);
-    desk.handle_outcome(now, &first[0], &late);
-    assert_eq!(desk.describe(now), before);
+    client.handle_outcome(now, &second[0], &outcome);
+    let before = client.describe(now);
+    client.handle_outcome(now, &first[0], &late);
+    assert_eq!(client.describe(now), before);
 }
 
 #[rstest]
@@ -404,15 +404,15 @@
     #[case] outcome: Option<RequestOutcome>,
     #[case] why: UnavailableReason,
 ) {
-    let (mut desk, mut lines) = (desk(5), Vec::new());
+    let (mut client, mut lines) = (client(5), Vec::new());
     for now in (START..START + 2 * REPORT_INTERVAL).step_by(10_000) {
-        if desk.take(now, "t", 0, holder, span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, holder, span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[holder], true).0 {
-            desk.handle_outcome(now, &errand, outcome.as_ref().expect("asked"));
+        for request in client.poll(now, &[holder], true).0 {
+            client.handle_outcome(now, &request, outcome.as_ref().expect("asked"));
         }
-        lines.extend(desk.report(now));
+        lines.extend(client.report(now));
     }
     assert!((1..=3).contains(&lines.len()), "{lines:?}");
     let worst = lines.iter().filter(|line| line.degraded && line.reasons.contains(&why.to_string()));
@@ -421,18 +421,18 @@
 
 #[rstest]
 fn a_budget_that_is_used_up_is_told() {
-    let (mut desk, mut count, mut lines) = (desk(5), count(3), Vec::new());
+    let (mut client, mut count, mut lines) = (client(5), count(3), Vec::new());
     for now in (START..START + REPORT_INTERVAL + SECOND).step_by(1_000) {
-        if desk.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
-            desk.enqueue(now, "t", span());
+        if client.take(now, "t", 0, Some(A), span()) == UnitResult::Wait {
+            client.enqueue(now, "t", span());
         }
-        for errand in desk.poll(now, &[Some(A)], true).0 {
-            let outcome = answers(&mut count, now, 0, &errand);
-            desk.handle_outcome(now, &errand, &outcome);
+        for request in client.poll(now, &[Some(A)], true).0 {
+            let outcome = answers(&mut count, now, 0, &request);
+            client.handle_outcome(now, &request, &outcome);
         }
         // Those that come before the next ask may be made, and no others.
-        assert!(desk.waiting() <= 2 * (MIN_INTERVAL / 1_000) as usize, "{} are held", desk.waiting());
-        lines.extend(desk.report(now));
+        assert!(client.waiting() <= 2 * (MIN_INTERVAL / 1_000) as usize, "{} are held", client.waiting());
+        lines.extend(client.report(now));
     }
     assert!(
         lines
--- a/crates/data/rpc/tests/chunks.rs
+++ b/crates/data/rpc/tests/chunks.rs
@@ -118,7 +118,7 @@
 fn no_bytes_break_a_bound() {
     for seed in 0..400 {
         let mut draw = chance(seed + 1);
-        let (mut assembly, mut answerer, mut caller) =
+        let (mut assembly, mut server, mut caller) =
             (Reassembly::default(), RpcServer::default(), RpcClient::default());
         let mut streams = [BytesMut::new(), BytesMut::new(), BytesMut::new()];
         for _ in 0..60 {
@@ -137,7 +137,7 @@
             let [a, b, c] = &mut streams;
             let ended = frames(&mut assembly, a).is_err()
                 | matches!(caller.next_event(0, b), Err(_) | Ok(Some(_)))
-                | answerer.next_call(c).is_err();
+                | server.next_call(c).is_err();
             let (open, held) = assembly.partial_frames();
             assert!(open <= MAX_INTERLEAVED_FRAMES && held <= 60 * 40, "seed {seed}");
             if ended {
@@ -273,13 +273,13 @@
 /// A side that is told to let go of numbers without end says as much back within a bound.
 #[rstest]
 fn words_that_numbers_are_given_up_are_bounded() {
-    let mut answerer = RpcServer::default();
+    let mut server = RpcServer::default();
     let gone: Vec<u8> = (0..100_000u32)
         .flat_map(|n| [&[0, 0, 0, 6, PROTOCOL_VERSION, 8][..], &n.to_be_bytes()].concat())
         .collect();
-    assert_eq!(answerer.next_call(&mut BytesMut::from(&gone[..])), Ok(None));
+    assert_eq!(server.next_call(&mut BytesMut::from(&gone[..])), Ok(None));
     let mut bytes = Vec::new();
-    while answerer.write_next(&mut bytes) {}
+    while server.write_next(&mut bytes) {}
     assert!(bytes.len() <= MAX_CHUNK_BYTES, "{}", bytes.len());
 }
 
