--- a/crates/balancer/src/gateway/endpoints.rs
+++ b/crates/balancer/src/gateway/endpoints.rs
@@ -233,7 +233,7 @@
             return f64::MAX;
         }
         let bounds = &self.settings.bounds;
-        let total = service.slow_start_rate * bounds.cold_overshoot + bounds.cold_slack;
+        let total = service.slow_start_rate * bounds.slow_start_overshoot + bounds.slow_start_slack;
         slow_start_share(SLOW_START_UTILIZATION * total, senders.len())
     }
 }
--- a/crates/balancer/src/gateway/mod.rs
+++ b/crates/balancer/src/gateway/mod.rs
@@ -57,10 +57,10 @@
     pub fn new(settings: Settings) -> Rc<Self> {
         let bounds = &settings.bounds;
         Rc::new(Gateway {
-            endpoints: Endpoints::new(settings.fds),
+            endpoints: Endpoints::new(settings.max_file_descriptors),
             retries: RefCell::new(RetryBudget::new(bounds.retry_ratio, bounds.retry_window)),
             node: NodeId::from(settings.ip),
-            channels: Channels::new(settings.inner.0),
+            channels: Channels::new(settings.inner_ports.first),
             following: Following::new(&settings),
             quota: QuotaClient::new(quota_rule(&settings)),
             draining: Cell::new(false),
@@ -84,8 +84,8 @@
     /// too.
     pub fn is_config_fresh(&self) -> bool {
         let bounds = &self.settings.bounds;
-        let lifetime = if bounds.strict {
-            bounds.revoke.saturating_sub(REVOCATION_MARGIN)
+        let lifetime = if bounds.revocation_strict {
+            bounds.revocation.saturating_sub(REVOCATION_MARGIN)
         } else {
             LENIENT_CONFIG_LIFETIME
         };
--- a/crates/balancer/src/gateway/quota.rs
+++ b/crates/balancer/src/gateway/quota.rs
@@ -119,10 +119,10 @@
     /// There is none: how long until the next window begins.
     pub async fn take_unit(&self, tenant: &str, rate: f64, burst: f64) -> Result<(), Micros> {
         let quota = &self.quota;
-        let Some(span) = quota.rule.window_budget(rate, burst) else { return Ok(()) };
+        let Some(budget) = quota.rule.window_budget(rate, burst) else { return Ok(()) };
         let shard = shard_of(tenant);
         let holder = self.holder(shard);
-        match quota.client.borrow_mut().take(now(), tenant, shard, holder, span) {
+        match quota.client.borrow_mut().take(now(), tenant, shard, holder, budget) {
             UnitResult::Granted => return Ok(()),
             UnitResult::Exhausted(left) => return Err(left),
             UnitResult::Wait => quota.waited.set(quota.waited.get() + 1),
@@ -131,7 +131,7 @@
         if quota.is_counter_remote() && self.borrow_unit(tenant, shard).await {
             return Ok(());
         }
-        self.wait_for_unit(&mut wait, span).await
+        self.wait_for_unit(&mut wait, budget).await
     }
 
     /// Borrows a unit from a neighbour. The counter may be regions away.
@@ -146,10 +146,10 @@
         false
     }
 
-    async fn wait_for_unit(&self, wait: &mut UnitWait<'_>, span: WindowBudget) -> Result<(), Micros> {
+    async fn wait_for_unit(&self, wait: &mut UnitWait<'_>, budget: WindowBudget) -> Result<(), Micros> {
         let quota = &self.quota;
         let (sender, resolved) = oneshot::channel();
-        let waiter_id = quota.client.borrow_mut().enqueue(now(), wait.tenant, span);
+        let waiter_id = quota.client.borrow_mut().enqueue(now(), wait.tenant, budget);
         quota.waiters.borrow_mut().insert(waiter_id, sender);
         wait.waiter_id = Some(waiter_id);
         quota.lease_now.notify_one();
@@ -175,11 +175,12 @@
     pub(super) fn lend_unit(&self, tenant: &str) -> Reply {
         let routing = self.routing();
         let tenant_config = routing.tenants.get(tenant);
-        let span = tenant_config.and_then(|t| self.quota.rule.window_budget(t.rate_per_second, t.burst_size));
+        let budget =
+            tenant_config.and_then(|t| self.quota.rule.window_budget(t.rate_per_second, t.burst_size));
         let shard = shard_of(tenant);
         let holder = self.holder(shard);
-        match span {
-            Some(span) if self.quota.client.borrow_mut().lend(now(), tenant, shard, holder, span) => {
+        match budget {
+            Some(budget) if self.quota.client.borrow_mut().lend(now(), tenant, shard, holder, budget) => {
                 Reply::Done
             }
             _ => Reply::Declined,
--- a/crates/balancer/src/process.rs
+++ b/crates/balancer/src/process.rs
@@ -92,7 +92,7 @@
 
 /// Where the other processes call this one.
 fn inner_address(settings: &Settings) -> SocketAddr {
-    SocketAddr::from((settings.ip, settings.inner.0))
+    SocketAddr::from((settings.ip, settings.inner_ports.first))
 }
 
 async fn run_replica(settings: Settings, terminate: &mut Signal, reload: Signal) -> StartResult<()> {
@@ -120,12 +120,12 @@
 
 /// Opens the disk, if the machine has one, and restores the state from it.
 async fn open_disk(settings: &Settings) -> StartResult<(InitialState, StateWriter)> {
-    let Some(directory) = &settings.data else {
+    let Some(directory) = &settings.data_directory else {
         let initial = InitialState { acceptor: Acceptor::default(), state: State::default(), is_new: true };
         return Ok((initial, StateWriter::none()));
     };
     // All disks of the initial start have one incarnation; later ones are told apart.
-    let fresh = if settings.first_start { 0 } else { clock::random() | 1 };
+    let fresh = if settings.initial_start { 0 } else { clock::random() | 1 };
     let opened = StateWriter::open(directory.clone(), NodeId::from(settings.ip), fresh).await;
     let (writer, recovered) = opened.change_context(StartError::Disk)?;
     let (acceptor, is_new) = (recovered.acceptor.clone(), recovered.is_new);
@@ -149,8 +149,9 @@
 async fn run_gateway(settings: Settings, terminate: &mut Signal, reload: Signal) -> StartResult<()> {
     let (inner, frontend) = (inner_address(&settings), settings.frontend);
     let probe_addresses = [settings.readiness, settings.directory];
-    let grace = Duration::from_micros(settings.bounds.grace);
-    let clients = ClientConnections::new(settings.fds.saturating_sub(RESERVED_FILE_DESCRIPTORS));
+    let grace = Duration::from_micros(settings.bounds.grace_period);
+    let clients =
+        ClientConnections::new(settings.max_file_descriptors.saturating_sub(RESERVED_FILE_DESCRIPTORS));
     let gateway = Gateway::new(settings);
     let answering = gateway.clone();
     tokio::task::spawn_local(transport::listen(bind(inner)?, move |call| answering.clone().answer(call)));
--- a/crates/control/consensus/tests/schedules.rs
+++ b/crates/control/consensus/tests/schedules.rs
@@ -134,7 +134,7 @@
         let round = machine.disk.slot_state.promised.round.max(machine.used) + 1;
         machine.used = round;
         let incarnation = if self.off == Off::Boots { 0 } else { machine.incarnation };
-        let ballot = ProposalNumber { round, proposer: at as NodeId, incarnation: incarnation };
+        let ballot = ProposalNumber { round, proposer: at as NodeId, incarnation };
         let slot = machine.disk.applied + 1;
         machine.round = Some(Proposer::new(slot, ballot, voters, value(self.next, &change)));
         self.send_all(at, &Message::Prepare(slot, ballot));
--- a/crates/control/membership/tests/role_leases.rs
+++ b/crates/control/membership/tests/role_leases.rs
@@ -133,7 +133,7 @@
 #[rstest]
 fn a_new_life_of_a_process_frees_what_it_held() {
     let (mut votes, now) = (LeaseVoter::new(0, false), 100 * ROLE_LEASE);
-    let claim = |incarnation| LeaseRequest { shard: 3, incarnation: incarnation, renewal: false };
+    let claim = |incarnation| LeaseRequest { shard: 3, incarnation, renewal: false };
     assert!(votes.vote(now, 1, claim(7)));
     assert!(!votes.vote(now, 2, claim(8)), "held by another");
     assert!(!votes.vote(now, 1, claim(9)), "its own earlier life may still hold it");
--- a/crates/data/settings/tests/files.rs
+++ b/crates/data/settings/tests/files.rs
@@ -1,6 +1,6 @@
 //! Settings files: what the pages show is read, and what is wrong is named.
 
-use limeway_settings::{time, Settings};
+use limeway_settings::{time, PortRange, Settings};
 use rstest::rstest;
 
 const FILE: &str = "node-name=edge-guimaraes-s1-1\nrole=my-edge\nip-address=10.1.0.23\nzone=guimaraes-s1\n\
@@ -13,9 +13,14 @@
 #[rstest]
 fn the_file_of_the_pages_is_read() {
     let s = Settings::read(FILE).expect("read");
-    assert_eq!((s.inner, s.seeds.len(), s.losses, s.fds), ((7460, 7475), 2, 1, 4100));
+    assert_eq!(
+        (s.inner_ports, s.seeds.len(), s.tolerated_losses, s.max_file_descriptors),
+        (PortRange { first: 7460, last: 7475 }, 2, 1, 4100)
+    );
     assert_eq!((s.heartbeat, s.bounds.contact, s.bounds.quota_window), (1_500_000, 4_000_000, 5_000_000));
-    assert!(s.first_start && s.bounds.strict && s.data.is_none() && s.control.is_none());
+    assert!(
+        s.initial_start && s.bounds.revocation_strict && s.data_directory.is_none() && s.control.is_none()
+    );
     assert_eq!(s.zones["tavira-s1"], "sul-algarve");
 }
 
--- a/crates/testing/load-generator/src/scale.rs
+++ b/crates/testing/load-generator/src/scale.rs
@@ -70,7 +70,7 @@
         let listens = format!("listen-addresses.frontend={ip}:1\n");
         let text = settings(ip, zone, &self.system.zones, &self.seeds, &listens, false);
         let settings = Settings::read(&text).map_err(|e| io::Error::other(format!("{e:?}")))?;
-        let inner = SocketAddr::from((ip, settings.inner.0));
+        let inner = SocketAddr::from((ip, settings.inner_ports.first));
         let edge = Gateway::new(settings);
         let listener = transport::bind(inner)?;
         let set = LocalSet::new();
