--- a/crates/control/control-plane/src/control_plane.rs
+++ b/crates/control/control-plane/src/control_plane.rs
@@ -8,6 +8,7 @@
 use crate::persistence::Persistence;
 use crate::proposals::Proposals;
 use crate::quorum::Quorum;
+use crate::replication::Replication;
 use crate::updates::LongPolls;
 use crate::voters::{VoterChanges, HANDOVER_TIMEOUT, SHUTDOWN_GRACE};
 use limeway_consensus::{Acceptor, Slot, Voter};
@@ -53,6 +54,7 @@
     pub(crate) voter_changes: VoterChanges,
     pub(crate) long_polls: LongPolls,
     pub(crate) persistence: Persistence,
+    pub(crate) replication: Replication,
     pub(crate) report_replications: BTreeMap<u64, ReportReplication>,
     pub(crate) last_request: RequestId,
     shutting_down_since: Option<Timestamp>,
@@ -104,6 +106,7 @@
             voter_changes: VoterChanges::new(cache.state.voters.clone()),
             long_polls: LongPolls::default(),
             persistence: Persistence::new(cache.state.slot),
+            replication: Replication::default(),
             report_replications: BTreeMap::new(),
             last_request: 0,
             shutting_down_since: None,
--- a/crates/control/control-plane/src/persistence.rs
+++ b/crates/control/control-plane/src/persistence.rs
@@ -54,8 +54,6 @@
     durable_slot: Slot,
     failed: bool,
     needs_snapshot: bool,
-    /// A request for what this replica lacks is under way.
-    pub fetching_until: Option<Timestamp>,
 }
 
 impl Persistence {
@@ -70,7 +68,6 @@
             failed: false,
             // The log that was found may have any length.
             needs_snapshot: true,
-            fetching_until: None,
         }
     }
 
--- a/crates/control/control-plane/src/replication.rs
+++ b/crates/control/control-plane/src/replication.rs
@@ -6,11 +6,18 @@
 use crate::persistence::AfterWrite;
 use limeway_consensus::{NodeId, Slot};
 use limeway_distribution::transfer::StateRequest;
-use limeway_types::Micros;
+use limeway_types::{Micros, Timestamp};
 
 /// How long another replica may take to send a chunk of what this one lacks.
 const FETCH_TIMEOUT: Micros = 700_000;
 
+/// What this replica is receiving from others.
+#[derive(Debug, Default)]
+pub(crate) struct Replication {
+    /// A request for what this replica lacks is under way, until then at most.
+    fetching_until: Option<Timestamp>,
+}
+
 impl ControlPlane {
     /// Applies a value that a proposal of this replica got chosen, if its slot is the next.
     pub(crate) fn apply_chosen(&mut self, slot: Slot, value: &[u8]) {
@@ -40,17 +47,17 @@
 
     /// Has another replica send what this one lacks, one request at a time.
     pub(crate) fn fetch(&mut self, from: NodeId) {
-        let fetching = self.persistence.fetching_until.is_some_and(|until| self.now < until);
+        let fetching = self.replication.fetching_until.is_some_and(|until| self.now < until);
         if from == self.options.node || fetching {
             return;
         }
         let request = self.cache.state_request();
-        self.persistence.fetching_until = Some(self.now + FETCH_TIMEOUT);
+        self.replication.fetching_until = Some(self.now + FETCH_TIMEOUT);
         self.send(from, Call::Fetch(request), FETCH_TIMEOUT, SentRequest::Fetch(from, request));
     }
 
     pub(crate) fn handle_fetched(&mut self, from: NodeId, request: StateRequest, reply: Option<Reply>) {
-        self.persistence.fetching_until = None;
+        self.replication.fetching_until = None;
         let Some(Reply::StateUpdate(update)) = reply else {
             log::debug!(from; "replica sent no state update");
             return;
