--- a/crates/balancer/src/process.rs
+++ b/crates/balancer/src/process.rs
@@ -124,7 +124,7 @@
         let initial = InitialState { acceptor: Acceptor::default(), state: State::default(), is_new: true };
         return Ok((initial, StateWriter::none()));
     };
-    // All disks of the initial start have one incarnation; later ones are told apart.
+    // All disks of the initial start have one incarnation; later ones differ.
     let fresh = if settings.initial_start { 0 } else { clock::random() | 1 };
     let opened = StateWriter::open(directory.clone(), NodeId::from(settings.ip), fresh).await;
     let (writer, recovered) = opened.change_context(StartError::Disk)?;
--- a/crates/balancer/src/transport/mod.rs
+++ b/crates/balancer/src/transport/mod.rs
@@ -1,6 +1,6 @@
 //! Connections between processes of the system.
 //!
-//! A [`Channel`] leads to one process: calls go out over one kept connection and are told apart by their numbers, responses come in
+//! A [`Channel`] leads to one process: calls go out over one kept connection and are matched by their numbers, responses come in
 //! any order. What a number, a timeout, a silence and a chunk mean is decided in `limeway-rpc`; here are sockets and timers. A
 //! call that times out ends no other. One that received nothing at all makes the next call open a new connection; what is in flight
 //! on the old one may still be answered there. [`listen`] takes calls. All of it as a table: `docs/design/calls.md`.
--- a/crates/control/consensus/tests/exhaustive.rs
+++ b/crates/control/consensus/tests/exhaustive.rs
@@ -14,7 +14,7 @@
 use std::hash::{Hash, Hasher};
 
 const SLOTS: Slot = 3;
-const SEATS: usize = 3;
+const VOTERS: usize = 3;
 
 /// Which guard is off.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -61,7 +61,7 @@
 
 fn voters(log: &[ByteBuf]) -> Vec<Voter> {
     let last = log.iter().rev().find(|v| v.len() > 1);
-    let first = || (0..SEATS as NodeId).map(|node| Voter { node, disk: 0 }).collect();
+    let first = || (0..VOTERS as NodeId).map(|node| Voter { node, disk: 0 }).collect();
     let read =
         |v: &ByteBuf| v[1..].chunks(2).map(|c| Voter { node: c[0].into(), disk: c[1].into() }).collect();
     last.map_or_else(first, read)
@@ -69,8 +69,8 @@
 
 impl World {
     fn new() -> Self {
-        let disk = |n: usize| Acceptor { disk: u64::from(n >= SEATS) * 9, ..Acceptor::default() };
-        let machines = (0..=SEATS).map(|n| Machine { disk: disk(n), log: Vec::new() }).collect();
+        let disk = |n: usize| Acceptor { disk: u64::from(n >= VOTERS) * 9, ..Acceptor::default() };
+        let machines = (0..=VOTERS).map(|n| Machine { disk: disk(n), log: Vec::new() }).collect();
         World { machines, held: Vec::new(), chosen: BTreeMap::new(), lost: 0 }
     }
 
@@ -149,13 +149,13 @@
     fn next(&self, ballots: usize, losses: usize, off: Off) -> Vec<World> {
         let mut all = Vec::new();
         for at in 0..self.machines.len() {
-            // Seats are alike but for the place that a newcomer takes: one of them begins the first ballot, that one or another
+            // Voters are alike but for the place that a newcomer takes: one of them begins the first ballot, that one or another
             // the second.
-            let holds = at >= SEATS || at <= self.held.len();
+            let holds = at >= VOTERS || at <= self.held.len();
             if holds && self.held.len() < ballots && (self.machines[at].log.len() as Slot) < SLOTS {
                 self.begin(at, &mut all);
             }
-            if self.lost < losses && (self.whole() || off == Off::Losses || (self.lost == 0 && at < SEATS)) {
+            if self.lost < losses && (self.whole() || off == Off::Losses || (self.lost == 0 && at < VOTERS)) {
                 let mut world = self.clone();
                 world.lost += 1;
                 let life =
--- a/crates/control/control-plane/src/proposals.rs
+++ b/crates/control/control-plane/src/proposals.rs
@@ -101,7 +101,7 @@
     }
 
     pub(crate) fn enqueue_evacuation(&mut self, caller: CallerId, zone: String, starts: bool) {
-        // Never 0, which stands for a call that is not told from others.
+        // Never 0, which stands for a call that carries no id.
         let call_id = self.random() | 1;
         self.enqueue(caller, Request::Evacuate { zone, starts, call_id });
     }
--- a/crates/control/distribution/tests/common/mod.rs
+++ b/crates/control/distribution/tests/common/mod.rs
@@ -69,7 +69,7 @@
 /// A core machine that is confirmed at `now`, with so many operations and a big one among them.
 pub(crate) fn core(epoch: u64, now: Micros, machines: &[u32], big: u64) -> StateCache {
     let mut cache = StateCache::new(epoch);
-    cache.apply_operation(&encode(&seats(machines)));
+    cache.apply_operation(&encode(&voters(machines)));
     if big > 0 {
         cache.apply_operation(&routes(1, big));
     }
@@ -77,8 +77,8 @@
     cache
 }
 
-/// The operation that seats these machines.
-pub(crate) fn seats(machines: &[u32]) -> Operation {
-    let seats = machines.iter().map(|node| limeway_consensus::Voter { node: *node, disk: 0 });
-    Operation::SetVoters { voters: seats.collect(), former_voters: Vec::new() }
+/// The operation that makes these machines the voters.
+pub(crate) fn voters(machines: &[u32]) -> Operation {
+    let voters = machines.iter().map(|node| limeway_consensus::Voter { node: *node, disk: 0 });
+    Operation::SetVoters { voters: voters.collect(), former_voters: Vec::new() }
 }
--- a/crates/control/distribution/tests/follower.rs
+++ b/crates/control/distribution/tests/follower.rs
@@ -18,7 +18,7 @@
 
 /// What a machine does with a poll.
 #[derive(Clone, Copy, PartialEq)]
-enum Teller {
+enum UpstreamState {
     /// It is confirmed.
     InTouch,
     /// It is not confirmed, but answers.
@@ -30,7 +30,7 @@
 struct Play {
     follower: Follower,
     cache: StateCache,
-    upstreams: BTreeMap<NodeId, Teller>,
+    upstreams: BTreeMap<NodeId, UpstreamState>,
     core: Vec<NodeId>,
     members: Vec<NodeId>,
     /// Small changes after the first slot.
@@ -41,7 +41,7 @@
 
 impl Play {
     /// A limiter of machine 50, zone "z". What a machine is not said to be, it is not: it is silent.
-    fn new(seeds: &[NodeId], core: &[NodeId], upstreams: &[(NodeId, Teller)]) -> Self {
+    fn new(seeds: &[NodeId], core: &[NodeId], upstreams: &[(NodeId, UpstreamState)]) -> Self {
         Play {
             follower: Follower::new(50, "z", seeds.to_vec()),
             cache: StateCache::relay(9),
@@ -58,7 +58,7 @@
         while self.now < end {
             match self.follower.next_action(self.now, &self.cache) {
                 FollowerAction::Wait(until) => self.now = until.max(self.now + STEP).min(end),
-                FollowerAction::Fetch(..) => panic!("nothing big is told here"),
+                FollowerAction::Fetch(..) => panic!("nothing big is sent here"),
                 FollowerAction::Poll(node) => self.poll(node),
             }
         }
@@ -68,20 +68,20 @@
         let asked = self.now;
         self.asked.push((asked, node));
         let poll = self.follower.poll(asked, &self.cache, presence(50), 600_000);
-        let how = self.upstreams.get(&node).copied().unwrap_or(Teller::Silent);
-        if how == Teller::Silent {
+        let how = self.upstreams.get(&node).copied().unwrap_or(UpstreamState::Silent);
+        if how == UpstreamState::Silent {
             self.now += 300_000;
             return self.follower.handle_failure(self.now, node);
         }
-        let confirmed = if how == Teller::InTouch { asked - 200_000 } else { 1 };
+        let confirmed = if how == UpstreamState::InTouch { asked - 200_000 } else { 1 };
         let mut upstream = core(u64::from(node), confirmed, &self.core, 0);
         for mark in 0..self.changes {
             upstream
                 .apply_operation(&encode(&Operation::SetGateways { add: vec![mark], remove: Vec::new() }));
         }
         upstream.set_members(self.members.iter().map(|n| (*n, "y".to_owned()).into()).collect());
-        let held = if how == Teller::InTouch && !upstream.has_update(&poll) { 600_000 } else { 0 };
-        upstream.confirmed_at += if how == Teller::InTouch { held } else { 0 };
+        let held = if how == UpstreamState::InTouch && !upstream.has_update(&poll) { 600_000 } else { 0 };
+        upstream.confirmed_at += if how == UpstreamState::InTouch { held } else { 0 };
         self.now += held + STEP;
         let response = upstream.respond(self.now - STEP, &poll, held);
         self.follower.handle_response(self.now, asked, &poll.request, node, response, &mut self.cache);
@@ -100,19 +100,19 @@
 }
 
 trait MapInTouch {
-    fn map_in_touch(&self) -> Vec<(NodeId, Teller)>;
+    fn map_in_touch(&self) -> Vec<(NodeId, UpstreamState)>;
 }
 
 impl MapInTouch for [NodeId] {
-    fn map_in_touch(&self) -> Vec<(NodeId, Teller)> {
-        self.iter().map(|n| (*n, Teller::InTouch)).collect()
+    fn map_in_touch(&self) -> Vec<(NodeId, UpstreamState)> {
+        self.iter().map(|n| (*n, UpstreamState::InTouch)).collect()
     }
 }
 
 #[rstest]
-#[case::cut_off(Teller::CutOff)]
-#[case::silent(Teller::Silent)]
-fn who_is_not_in_touch_is_asked_again_with_a_pause_that_doubles(#[case] how: Teller) {
+#[case::cut_off(UpstreamState::CutOff)]
+#[case::silent(UpstreamState::Silent)]
+fn who_is_not_in_touch_is_asked_again_with_a_pause_that_doubles(#[case] how: UpstreamState) {
     let core = [1, 2, 3];
     let first = first_choice(&core);
     let mut play = Play::new(&core, &core, &core.map_in_touch());
@@ -130,7 +130,7 @@
     assert!(play.cache.is_confirmed(play.now));
 
     // In touch again, it is the first choice at once after its pause; the next pause is a short one.
-    play.upstreams.insert(first, Teller::InTouch);
+    play.upstreams.insert(first, UpstreamState::InTouch);
     play.until(play.now + MAX_BACKOFF + 1_000_000);
     assert_eq!(play.asked.last().map(|(_, n)| *n), Some(first));
     play.upstreams.insert(first, how);
@@ -143,7 +143,7 @@
 #[rstest]
 fn all_out_of_touch_are_asked_by_turns() {
     let core = [1, 2, 3, 4, 5];
-    let mut play = Play::new(&core, &core, &core.map(|n| (n, Teller::CutOff)));
+    let mut play = Play::new(&core, &core, &core.map(|n| (n, UpstreamState::CutOff)));
     play.members = vec![60, 61, 62];
     play.until(50_000_000);
     assert!(!play.cache.is_confirmed(play.now));
@@ -154,7 +154,7 @@
         play.asked.len()
     );
     for machine in core {
-        play.upstreams.insert(machine, Teller::InTouch);
+        play.upstreams.insert(machine, UpstreamState::InTouch);
     }
     let back = play.now;
     play.until(back + 1_000_000);
@@ -166,10 +166,10 @@
 #[case::by_a_member(&[], &[60])]
 fn a_new_process_gets_past_seeds_that_are_cut_off(#[case] reached: &[NodeId], #[case] relays: &[NodeId]) {
     let core = [1, 2, 3, 4, 5];
-    let mut play = Play::new(&[1, 2], &core, &[(1, Teller::CutOff), (2, Teller::CutOff)]);
+    let mut play = Play::new(&[1, 2], &core, &[(1, UpstreamState::CutOff), (2, UpstreamState::CutOff)]);
     play.members = vec![60, 61];
     for node in reached.iter().chain(relays) {
-        play.upstreams.insert(*node, Teller::InTouch);
+        play.upstreams.insert(*node, UpstreamState::InTouch);
     }
     play.until(20_000_000 + 5_000_000);
     assert!(play.cache.is_confirmed(play.now), "asked {:?}", play.asked);
@@ -181,7 +181,7 @@
 #[rstest]
 fn small_changes_are_spaced_and_none_is_waited_for_without_one() {
     let mut play = Play::new(&[1], &[1], &[1].map_in_touch());
-    // Who has nothing yet is told the whole state; what is spaced are the changes after it.
+    // Who has nothing yet is sent the whole state; what is spaced are the changes after it.
     play.poll(1);
     assert_eq!(play.cache.state.slot, 1);
     play.changes = 1;
--- a/crates/control/distribution/tests/freshness.rs
+++ b/crates/control/distribution/tests/freshness.rs
@@ -10,8 +10,8 @@
 
 const NOW: u64 = 100_000_000;
 
-/// A limiter that was told by a core machine in touch: members 1 to 3, holder 1, servers 1 and 2.
-fn told() -> StateCache {
+/// A gateway that follows a core replica with a quorum: members 1 to 3, holder 1, servers 1 and 2.
+fn following() -> StateCache {
     let mut upstream = core(1, NOW, &[1, 2, 3], 0);
     upstream.set_members((1..=3).map(|n| (n, "z".to_owned()).into()).collect());
     upstream.holders[0] = (1, 11).into();
@@ -44,7 +44,7 @@
 #[case::never_confirmed(None)]
 #[case::confirmed_too_long_ago(Some(NOW - MAX_STALENESS - 1))]
 fn an_stale_upstream_is_believed_only_in_what_goes_forward(#[case] confirmed: Option<u64>) {
-    let (mut limiter, upstream) = (told(), other(confirmed.unwrap_or(0)));
+    let (mut limiter, upstream) = (following(), other(confirmed.unwrap_or(0)));
     let asked = poll(&limiter, upstream.incarnation, 1, 0);
     let mut response = upstream.respond(NOW, &asked, 0);
     assert_eq!(limiter.freshness(NOW, &response), Freshness::Stale);
@@ -55,7 +55,7 @@
     assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11).into()));
     assert!(
         !limiter.registry.servers()["i-2"].unlisted,
-        "an unsure teller's list says nothing of whom it does not name"
+        "an unconfirmed upstream's list says nothing of whom it does not name"
     );
     assert_eq!(limiter.registry.servers()["i-1"].phase, Phase::Draining);
     assert_eq!(limiter.state, upstream.state);
@@ -71,7 +71,7 @@
 #[case::older(1, false)]
 #[case::as_new(0, true)]
 fn an_older_word_does_not_replace_a_newer_one(#[case] older: u64, #[case] taken: bool) {
-    let (mut limiter, upstream) = (told(), other(NOW - older));
+    let (mut limiter, upstream) = (following(), other(NOW - older));
     let asked = poll(&limiter, 0, 0, 0);
     let response = upstream.respond(NOW, &asked, 0);
     limiter.apply_response(NOW, NOW, asked.request.slot, response);
--- a/crates/control/distribution/tests/responses.rs
+++ b/crates/control/distribution/tests/responses.rs
@@ -1,4 +1,4 @@
-//! News as differences equals news as a whole, ages only ever add up, and the tree forms again.
+//! Differences add up to the whole state, ages only ever add up, and the tree forms again.
 
 mod common;
 
@@ -29,7 +29,7 @@
         core.set_members(vec![(step as u32 % 5, "z".to_owned()).into()]);
         for (cache, (epoch, servers, members), every) in &mut limiters {
             if step % *every == 0 {
-                // What is not told with one answer is told with the next ones.
+                // What is not sent with one response is sent with the next ones.
                 while cache.state.slot < core.state.slot {
                     let asked = poll(cache, *epoch, *servers, *members);
                     let response = core.respond(now, &asked, 0);
--- a/crates/control/distribution/tests/transfers.rs
+++ b/crates/control/distribution/tests/transfers.rs
@@ -8,7 +8,7 @@
 use limeway_routing_config::Operation;
 use rstest::rstest;
 
-/// Core machines that took the same operations: a big configuration, and enough after it to be told as a whole state.
+/// Core machines that took the same operations: a big configuration, and enough after it to be sent as a whole state.
 fn upstreams(after: u64) -> [StateCache; 2] {
     [1, 2].map(|epoch| {
         let mut cache = core(epoch, 1, &[1, 2], 3_000);
@@ -62,7 +62,7 @@
         }));
     }
     let mut limiter = StateCache::relay(9);
-    limiter.apply_operation(&encode(&common::seats(&[1, 2])));
+    limiter.apply_operation(&encode(&common::voters(&[1, 2])));
     let (mut bytes, mut size, mut turns) = (0, 0, 0);
     while limiter.state.slot < 2 {
         let want = limiter.state_request();
@@ -118,7 +118,8 @@
     let [upstream, _] = upstreams(0);
     let mut limiter = StateCache::relay(9);
     let want = StateRequest { slot: 1, ..limiter.state_request() };
-    limiter.apply_update(0, StateUpdate::Operations(vec![compress(&encode(&common::seats(&[1, 2]))).into()]));
+    limiter
+        .apply_update(0, StateUpdate::Operations(vec![compress(&encode(&common::voters(&[1, 2]))).into()]));
     let StateUpdate::Chunk(first) = upstream.state_update(&want) else { panic!("no part") };
     limiter.apply_update(1, StateUpdate::Chunk(first.clone()));
     let have = limiter.state_request().received;
@@ -139,11 +140,11 @@
 fn a_relay_says_that_there_is_something_big_and_tells_it_only_to_who_fetches_it() {
     let [upstream, _] = upstreams(0);
     let mut relay = StateCache::relay(8);
-    // Who has nothing yet would be told the whole state, in place of the operation.
-    relay.apply_operation(&encode(&common::seats(&[1, 2])));
+    // Who has nothing yet would be sent the whole state, in place of the operation.
+    relay.apply_operation(&encode(&common::voters(&[1, 2])));
     follow(&mut relay, &upstream);
     let mut limiter = StateCache::relay(9);
-    limiter.apply_operation(&encode(&common::seats(&[1, 2])));
+    limiter.apply_operation(&encode(&common::voters(&[1, 2])));
     let asked = poll(&limiter, 0, 0, 0);
     assert_eq!(relay.respond(1, &asked, 0).state_update, StateUpdate::FetchFromCore(2));
     assert_eq!(part(&relay.state_update(&asked.request)), part(&upstream.state_update(&asked.request)));
--- a/crates/control/membership/tests/role_leases.rs
+++ b/crates/control/membership/tests/role_leases.rs
@@ -39,9 +39,9 @@
         round: None,
     };
     let mut machines: Vec<Machine> = (1..=3).map(|n| fresh(now, n, false)).collect();
-    // Votes and news under way: from, to, incarnation of the sender, when asked, claim or what is held.
+    // Votes and lease exchanges under way: from, to, incarnation of the sender, when asked, claim or what is held.
     let mut wire: Vec<(usize, usize, u64, Micros, LeaseRequest)> = Vec::new();
-    let mut news: Vec<(usize, usize, u64, Vec<HeldLease>)> = Vec::new();
+    let mut exchanges: Vec<(usize, usize, u64, Vec<HeldLease>)> = Vec::new();
     let (mut most, mut held, mut incarnations) = (0, 0, 10);
     for _ in 0..3_000 {
         now += rng.below(60_000);
@@ -71,10 +71,11 @@
                 let holds = m.leases.held(now);
                 (0..3)
                     .filter(|to| *to != at)
-                    .for_each(|to| news.push((at, to, m.incarnation, holds.clone())));
+                    .for_each(|to| exchanges.push((at, to, m.incarnation, holds.clone())));
             }
-            6..=8 if !news.is_empty() => {
-                let (from, to, incarnation, holds) = news.swap_remove(rng.below(news.len() as u64) as usize);
+            6..=8 if !exchanges.is_empty() => {
+                let (from, to, incarnation, holds) =
+                    exchanges.swap_remove(rng.below(exchanges.len() as u64) as usize);
                 // What a process says of itself comes in order, as its connection ends with it.
                 if machines[from].incarnation == incarnation
                     && machines[from].leases.held(now).len() >= holds.len()
--- a/crates/control/routing-config/src/evacuation.rs
+++ b/crates/control/routing-config/src/evacuation.rs
@@ -1,6 +1,6 @@
 //! Which call about a zone is a new one, and which is a retry.
 //!
-//! A start and an end of an evacuation have no body and no number, and callers cannot be told apart: what is known of a call is
+//! A start and an end of an evacuation have no body and no number, and callers cannot be distinguished: what is known of a call is
 //! whether its answer has **arrived**. Whoever takes a call gives it a random id; the state holds the call as open until its
 //! machine has seen the caller take the answer ([`Operation::CloseCall`]) or until nobody retries it. A caller without an answer
 //! retries, one with an answer does not. So the first like call after an open one is its retry and takes its place; any other is
--- a/crates/control/routing-config/src/operation.rs
+++ b/crates/control/routing-config/src/operation.rs
@@ -54,7 +54,7 @@
         /// The evacuation starts; otherwise it ends.
         #[serde(rename = "begun")]
         starts: bool,
-        /// The id of the call; 0 for a call that is not told from others.
+        /// The id of the call; 0 for a call that carries none.
         #[serde(rename = "mark", default)]
         call_id: u64,
         /// The open call that this one is taken to be a retry of; 0 for a new one.
--- a/crates/control/service-registry/tests/reports.rs
+++ b/crates/control/service-registry/tests/reports.rs
@@ -93,11 +93,14 @@
     assert!(!registry.servers()["a"].unresponsive);
     let before = registry.revision;
     assert_eq!(registry.observe(9 * SECOND, &report("a", 3, Phase::Ready)), Observation::Refreshed);
-    assert!(registry.changed_since(9 * SECOND, before).is_empty(), "a mere beat is no news for limiters");
+    assert!(
+        registry.changed_since(9 * SECOND, before).is_empty(),
+        "a mere heartbeat is no change for gateways"
+    );
 }
 
-/// A limiter that goes from one teller to another whose list is not whole yet must not hold the rest to be silent for good
-/// (1 of 100 limiters in a scale run): the second teller's next word on a server ends the doubt, with a report that is known.
+/// A gateway that goes from one upstream to another whose list is not whole yet must not hold the rest to be silent for good
+/// (1 of 100 gateways in a scale run): the second upstream's next entry for a server ends the doubt, with a report that is known.
 #[rstest]
 fn a_doubt_ends_with_the_next_word_on_a_server() {
     let mut registry = ServiceRegistry::default();
--- a/crates/control/storage/tests/disk.rs
+++ b/crates/control/storage/tests/disk.rs
@@ -76,7 +76,7 @@
     spoil(&folder.0.join("state.redb"));
     let (_store, found) = open(&folder, 7, 43);
     assert!(found.is_new && found.acceptor.applied == 0, "it holds nothing");
-    assert_eq!(found.acceptor.disk, 43, "a new life, which holds no seat");
+    assert_eq!(found.acceptor.disk, 43, "a new life, which is no voter");
     assert!(folder.0.join("state.redb.aside").exists(), "kept for whoever looks into it");
 }
 
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -94,10 +94,10 @@
     let medium = Fused(Directory::new(&PathBuf::from(folder)), fuse);
     let (mut store, found) = StateStore::open(medium, NODE, 42).expect("made");
     println!();
-    script::run(&mut store, found.acceptor.disk, |group| println!("told {group}"), || false);
+    script::run(&mut store, found.acceptor.disk, |group| println!("acknowledged {group}"), || false);
 }
 
-/// Runs the child to its step; the last group that it told as written, and whether it got there.
+/// Runs the child to its step; the last group that it acknowledged as written, and whether it got there.
 fn killed_at(folder: &Path, step: usize) -> (Option<usize>, bool) {
     let mut child = Command::new(std::env::current_exe().expect("this program"))
         .args(["process::child", "--exact", "--nocapture"])
@@ -107,10 +107,10 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("starts");
-    let (mut told, mut here) = (None, false);
+    let (mut acknowledged, mut here) = (None, false);
     let out = BufReader::new(child.stdout.take().expect("piped"));
     for line in out.lines().map_while(Result::ok) {
-        told = line.strip_prefix("told ").and_then(|n| n.parse().ok()).or(told);
+        acknowledged = line.strip_prefix("acknowledged ").and_then(|n| n.parse().ok()).or(acknowledged);
         if line == "here" {
             here = true;
             break;
@@ -118,7 +118,7 @@
     }
     child.kill().expect("killed");
     child.wait().expect("ended");
-    (told, here)
+    (acknowledged, here)
 }
 
 #[test]
@@ -133,11 +133,11 @@
     let mut step = 1;
     loop {
         let _ = std::fs::remove_dir_all(&folder);
-        let (told, here) = killed_at(&folder, step);
-        let done = told.map_or(0, |group| group + 1);
+        let (acknowledged, here) = killed_at(&folder, step);
+        let done = acknowledged.map_or(0, |group| group + 1);
         let (store, found) = StateStore::open(Directory::new(&folder), NODE, 42).expect("opened");
         let may = &after[done..after.len().min(done + 2)];
-        assert!(may.iter().any(|p| p.fits(&found)), "killed at {step}: {done} told, found {found:?}");
+        assert!(may.iter().any(|p| p.fits(&found)), "killed at {step}: {done} acknowledged, found {found:?}");
         drop(store);
         if !here {
             assert_eq!(done, script::groups().len(), "the script runs to its end");
--- a/crates/control/storage/tests/log/rules.rs
+++ b/crates/control/storage/tests/log/rules.rs
@@ -125,7 +125,7 @@
         let next = next.after(Loss::Some(at as u64), Trouble::None);
         let (mut store, found) = StateStore::open(next, NODE, 43).expect("opened");
         assert!(!found.is_new);
-        // Seats of that time named machines only: a disk that voted is of the first life.
+        // Voters of that time named machines only: a disk that voted is of the first life.
         assert_eq!(
             found.acceptor,
             Acceptor { disk: 0, applied: 4, slot_state: open.clone() },
--- a/crates/control/storage/tests/log/script.rs
+++ b/crates/control/storage/tests/log/script.rs
@@ -16,7 +16,7 @@
     Choose(&'static [usize]),
     /// It writes a snapshot of so many bytes with the next record.
     Snapshot(usize),
-    /// It is told a state some slots ahead.
+    /// It is sent a state some slots ahead.
     Jump(u64),
 }
 
@@ -120,7 +120,7 @@
 pub(crate) fn run(
     store: &mut StateStore,
     life: u64,
-    mut told: impl FnMut(usize),
+    mut acknowledged: impl FnMut(usize),
     ended: impl Fn() -> bool,
 ) -> Vec<Picture> {
     let mut memory = Picture { life, ..Picture::default() };
@@ -133,7 +133,7 @@
         assert!(answers.iter().all(|a| *a == answers[0]), "one transaction: {answers:?}");
         if answers[0].is_ok() {
             may.clear();
-            told(at);
+            acknowledged(at);
         }
         may.push(memory.clone());
         if ended() {
--- a/crates/data/rpc/tests/calls.rs
+++ b/crates/data/rpc/tests/calls.rs
@@ -54,11 +54,11 @@
     if !bytes.is_empty() {
         caller.bytes_received(t);
     }
-    let (mut buffer, mut told) = (BytesMut::from(bytes), Vec::new());
+    let (mut buffer, mut events) = (BytesMut::from(bytes), Vec::new());
     while let Some(one) = caller.next_event(t, &mut buffer).expect("sound") {
-        told.push(one);
+        events.push(one);
     }
-    told
+    events
 }
 
 #[rstest]
@@ -190,18 +190,18 @@
     server.respond(1, body(MAX_CHUNK_BYTES * 40)).expect("room");
     server.respond(2, body(MAX_CHUNK_BYTES * 40)).expect("room");
     let mut t = 0;
-    let mut told = Vec::new();
+    let mut events = Vec::new();
     for piece in 1..=9 {
         // A piece of each every 600 ms.
         t = piece * 600 * MS;
         let mut bytes = Vec::new();
         assert!(server.write_next(&mut bytes) && server.write_next(&mut bytes));
-        told.extend(heard(&mut caller, t, &bytes));
+        events.extend(heard(&mut caller, t, &bytes));
         // Steps count up to the bound of a patient call, and not at all for a strict one.
         assert_eq!(caller.deadline(1), Some((t + 700 * MS).min(5_000 * MS)));
         assert_eq!(caller.deadline(2), Some(700 * MS));
     }
-    assert!(told.is_empty());
+    assert!(events.is_empty());
     // Given up half-way: what came is let go of, and the rest of it is not sent.
     assert_eq!(caller.partial_frames().0, 2);
     caller.cancel(t, 1);
@@ -293,8 +293,8 @@
         buffer.extend_from_slice(&pipe[..go]);
         pipe.drain(..go);
         caller.bytes_received(t);
-        while let Some(told) = caller.next_event(t, &mut buffer).expect("sound") {
-            match told {
+        while let Some(event) = caller.next_event(t, &mut buffer).expect("sound") {
+            match event {
                 ClientEvent::Response(0, long) => whole = Some((t, long.len())),
                 ClientEvent::Response(n, _) => worst = worst.max(t - at.remove(&n).expect("asked once")),
                 ClientEvent::Declined(n) => panic!("{n} refused"),
@@ -353,16 +353,16 @@
                 let (number, call) = serving.swap_remove(draw(serving.len() as u64) as usize);
                 server.respond(number, call).expect("room");
             }
-            while let Some(told) = caller.next_event(t, &mut ends[1]).expect("sound") {
-                let ClientEvent::Response(number, answer) = told else { panic!("seed {seed}: refused") };
+            while let Some(event) = caller.next_event(t, &mut ends[1]).expect("sound") {
+                let ClientEvent::Response(number, answer) = event else { panic!("seed {seed}: refused") };
                 let kind = waiting.remove(&number).expect("waits");
                 assert_eq!(answer, bodies[kind], "seed {seed}");
             }
         }
         while let Some((number, call)) = serving.pop() {
             server.respond(number, call).expect("room");
-            for told in back(&mut server, 2_000, &mut caller) {
-                let ClientEvent::Response(number, answer) = told else { panic!("seed {seed}: refused") };
+            for event in back(&mut server, 2_000, &mut caller) {
+                let ClientEvent::Response(number, answer) = event else { panic!("seed {seed}: refused") };
                 assert_eq!(answer, bodies[waiting.remove(&number).expect("waits")], "seed {seed}");
             }
         }
--- a/crates/data/rpc/tests/chunks.rs
+++ b/crates/data/rpc/tests/chunks.rs
@@ -270,7 +270,7 @@
     assert_eq!(out.remove(0), Removed::NotQueued);
 }
 
-/// A side that is told to let go of numbers without end says as much back within a bound.
+/// A side that receives cancellations without end keeps its own replies within a bound.
 #[rstest]
 fn words_that_numbers_are_given_up_are_bounded() {
     let mut server = RpcServer::default();
