--- /dev/null
+++ b/crates/balancer/tests/answers.rs
@@ -0,0 +1,71 @@
+//! Responses to servers, operators and clients, byte for byte as landing 14 gave them (`data/answers.txt`).
+//!
+//! The file has two lines for each exchange: `> PORT REQUEST` and `< RESPONSE`, with `\r\n` for a line break and `NET` for the second
+//! byte of the addresses, which differs with each run.
+
+mod system;
+
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddr, TcpStream};
+use std::time::{Duration, Instant};
+use system::{System, CONTROL, DIRECTORY, FRONT, READY, SOON};
+
+const ANSWERS: &str = include_str!("data/answers.txt");
+/// The second byte of this system's addresses.
+const NET: u8 = 61;
+
+/// The port of a name in the file, and the last byte of the machine's address.
+fn address(port: &str) -> SocketAddr {
+    let (machine, port) = match port {
+        "control" => (1, CONTROL),
+        "directory" => (1, DIRECTORY),
+        "frontend" => (4, FRONT),
+        "readiness" => (4, READY),
+        other => panic!("{other} is no port"),
+    };
+    (Ipv4Addr::new(127, NET, 0, machine), port).into()
+}
+
+/// What is answered to a request on a connection of its own; nothing if the machine does not answer.
+fn answer(to: SocketAddr, request: &str) -> Option<String> {
+    let mut stream = TcpStream::connect_timeout(&to, Duration::from_millis(500)).ok()?;
+    stream.set_read_timeout(Some(Duration::from_millis(2_500))).ok()?;
+    stream.write_all(request.as_bytes()).ok()?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    Some(response)
+}
+
+fn unescape(line: &str) -> String {
+    line.replace("\\r\\n", "\r\n").replace("NET", &NET.to_string())
+}
+
+fn escape(response: &str) -> String {
+    response.replace("\r\n", "\\r\\n").replace(&format!("127.{NET}."), "127.NET.")
+}
+
+/// Asks until the response is the expected one. Until the core has formed and the gateway follows it, others may come; what is
+/// sent again changes nothing.
+fn settled(port: &str, request: &str, expected: &str, patience: Duration) -> String {
+    let begun = Instant::now();
+    loop {
+        let response = answer(address(port), &unescape(request)).unwrap_or_default();
+        let response = escape(&response);
+        if response == expected || begun.elapsed() > patience {
+            return response;
+        }
+    }
+}
+
+#[test]
+fn all_responses_are_those_of_landing_14() {
+    let _system = System::start(NET, 1);
+    let lines: Vec<&str> = ANSWERS.lines().collect();
+    assert_eq!(lines.len() % 2, 0, "two lines for each exchange");
+    for exchange in lines.chunks(2) {
+        let (port, request) =
+            exchange[0].strip_prefix("> ").and_then(|l| l.split_once(' ')).expect("a request");
+        let expected = exchange[1].strip_prefix("< ").expect("a response");
+        assert_eq!(settled(port, request, expected, SOON), expected, "{port}: {request}");
+    }
+}
--- a/crates/balancer/tests/system/mod.rs
+++ b/crates/balancer/tests/system/mod.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 /// Ports of all machines.
-const CONTROL: u16 = 28383;
+pub(crate) const CONTROL: u16 = 28383;
 pub(crate) const DIRECTORY: u16 = 28385;
 pub(crate) const FRONT: u16 = 28389;
-const READY: u16 = 28384;
+pub(crate) const READY: u16 = 28384;
 const INNER: u16 = 27460;
 /// Whatever should come about does so within it, on a machine that is busy with other tests too.
 pub(crate) const SOON: Duration = Duration::from_secs(25);
--- a/crates/data/settings/tests/files.rs
+++ b/crates/data/settings/tests/files.rs
@@ -1,7 +1,8 @@
 //! Settings files: what the pages show is read, and what is wrong is named.
 
-use limeway_settings::{time, PortRange, Settings};
+use limeway_settings::{time, PortRange, RuleBounds, Settings};
 use rstest::rstest;
+use std::net::{Ipv4Addr, SocketAddr};
 
 const FILE: &str = "node-name=edge-guimaraes-s1-1\nrole=my-edge\nip-address=10.1.0.23\nzone=guimaraes-s1\n\
     region=minho-douro\nzones.guimaraes-s1=minho-douro\nzones.tavira-s1=sul-algarve\n\
@@ -50,3 +51,48 @@
 fn times_have_units(#[case] text: &str, #[case] micros: Option<u64>) {
     assert_eq!(time(text), micros);
 }
+
+#[rstest]
+fn a_file_of_landing_14_means_what_it_meant() {
+    let settings = Settings::read(include_str!("data/settings.conf")).expect("read");
+    let port = |port| Some(SocketAddr::from((Ipv4Addr::new(10, 1, 0, 25), port)));
+    let zones = [("guimaraes-s1", "minho-douro"), ("tavira-s1", "sul-algarve")];
+    let expected = Settings {
+        name: "core-guimaraes-s1-1".into(),
+        ip: Ipv4Addr::new(10, 1, 0, 25),
+        zone: "guimaraes-s1".into(),
+        region: "minho-douro".into(),
+        zones: zones.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into(),
+        frontend: port(8389),
+        readiness: port(8384),
+        control: port(8383),
+        directory: port(8385),
+        inner_ports: PortRange { first: 7460, last: 7475 },
+        seeds: vec![SocketAddr::from(([10, 1, 0, 25], 8383)), SocketAddr::from(([10, 4, 0, 41], 8383))],
+        initial_start: true,
+        loss_counted: true,
+        tolerated_losses: 2,
+        max_file_descriptors: 4_100,
+        data_directory: Some("/var/lib/limeway".into()),
+        heartbeat: 1_500_000,
+        bounds: RuleBounds {
+            contact: 4_100_000,
+            ack_timeout: 6_200_000,
+            drain: 2_300_000,
+            grace_period: 6_400_000,
+            config_apply: 2_600_000,
+            revocation: 5_100_000,
+            revocation_strict: false,
+            retry_ratio: 0.2,
+            retry_window: 11_000_000,
+            retry_slack: 50.0,
+            quota_window: 5_200_000,
+            quota_overshoot: 0.1,
+            quota_slack: 20.0,
+            slow_start_overshoot: 1.5,
+            slow_start_slack: 4.0,
+            max_ttl: 2_400_000,
+        },
+    };
+    assert_eq!(settings, expected);
+}
--- a/crates/gateway/event-log/tests/lines.rs
+++ b/crates/gateway/event-log/tests/lines.rs
@@ -76,3 +76,13 @@
     assert!(history.add(2, What::Ready).is_ok());
     assert_eq!(history.into_inner().0, 1);
 }
+
+/// A file as landing 14 wrote it.
+const HISTORY: &str = include_str!("data/history.jsonl");
+
+#[test]
+fn a_file_of_landing_14_is_read_and_written_byte_for_byte() {
+    assert_eq!(written(100), HISTORY);
+    let read: Vec<What> = read(HISTORY).expect("lines").into_iter().map(|line| line.what).collect();
+    assert_eq!(read, all());
+}
--- a/crates/gateway/operator-config/tests/files.rs
+++ b/crates/gateway/operator-config/tests/files.rs
@@ -80,3 +80,10 @@
         let _ = Operator::read(&text);
     }
 }
+
+#[test]
+fn a_file_of_landing_14_means_what_it_meant() {
+    let read = Operator::read(include_str!("data/limeway.toml")).expect("a file in use");
+    assert_eq!((read.counter.in_trouble, read.counter.lease_ahead), (InTrouble::Shares, true));
+    assert_eq!((read.history.folder.as_deref(), read.history.lines), (Some("/var/log/limeway"), 2_500));
+}
