--- a/crates/balancer/tests/kills.rs
+++ b/crates/balancer/tests/kills.rs
@@ -1,10 +1,12 @@
 //! Core machines are killed (SIGKILL) at many points while an order is under way, all or one of them, and started again: what was
 //! acknowledged is there, and the order ends with a clear answer.
 
+mod operations;
 mod system;
 
+use operations::config;
 use std::time::{Duration, Instant};
-use system::{config, System};
+use system::System;
 
 /// Kills, each a little later in an order than the one before.
 const ROUNDS: u32 = 12;
--- a/crates/balancer/tests/system/mod.rs
+++ b/crates/balancer/tests/system/mod.rs
@@ -2,12 +2,11 @@
 //!
 //! Every machine has an address of its own in 127.0.0.0/8, as in the system every machine has the same ports.
 
-use std::io::{Read, Write};
-use std::net::{Ipv4Addr, SocketAddr, TcpStream};
+use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::Mutex;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// Ports of all machines.
 pub(crate) const CONTROL: u16 = 28383;
@@ -21,7 +20,7 @@
 pub(crate) struct Machine {
     pub ip: Ipv4Addr,
     edge: bool,
-    child: Mutex<Option<Child>>,
+    pub child: Mutex<Option<Child>>,
 }
 
 pub(crate) struct System {
@@ -77,32 +76,6 @@
             .expect("starts");
         *self.machines[at].child.lock().expect("lock") = Some(child);
     }
-
-    pub(crate) fn kill(&self, at: usize) {
-        let mut child = self.machines[at].child.lock().expect("lock").take().expect("runs");
-        child.kill().expect("killed");
-        child.wait().expect("ended");
-    }
-
-    pub(crate) fn control(&self, at: usize, call: &str, body: &str) -> Option<(u16, String)> {
-        ask((self.machines[at].ip, CONTROL).into(), "POST", &format!("/-/rpc?call={call}"), &[], body)
-    }
-
-    /// As an operator does: to any core machine, until there is a clear answer.
-    pub(crate) fn order(&self, call: &str, body: &str) -> (u16, String) {
-        let (begun, mut at) = (Instant::now(), 0);
-        loop {
-            if let Some((status, text)) = self.control(at % 3, call, body).filter(|(s, _)| *s < 500) {
-                return (status, text);
-            }
-            at += 1;
-            assert!(begun.elapsed() < SOON, "no clear answer to {call}: {}", self.log());
-        }
-    }
-
-    pub(crate) fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
-    }
 }
 
 impl Drop for System {
@@ -114,29 +87,3 @@
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
-
-/// One request on a connection of its own.
-pub(crate) fn ask(
-    to: SocketAddr,
-    method: &str,
-    path: &str,
-    headers: &[(&str, &str)],
-    body: &str,
-) -> Option<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&to, Duration::from_millis(500)).ok()?;
-    stream.set_read_timeout(Some(Duration::from_millis(2_500))).ok()?;
-    let mut text =
-        format!("{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n", body.len());
-    headers.iter().for_each(|(n, v)| text.push_str(&format!("{n}: {v}\r\n")));
-    stream.write_all(format!("{text}\r\n{body}").as_bytes()).ok()?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).ok()?;
-    let status = answer.get(9..12)?.parse().ok()?;
-    Some((status, answer.split_once("\r\n\r\n")?.1.to_owned()))
-}
-
-pub(crate) fn config(version: u32, base: u32, prefix: &str, keys: &str) -> String {
-    format!(
-        r#"{{"config-version":"{version:08x}","base-version":"{base:08x}","resource-list":[{{"resource-kind":"routes","metadata":{{"name":"r"}},"specification":{{"hostname":"a.example","path-prefix":"{prefix}","route-type":"idempotent","timeout":"2s","target-service":"s","max-attempts":3}}}},{{"resource-kind":"services","metadata":{{"name":"s"}},"specification":{{"health-path":"/health"}}}},{{"resource-kind":"tenants","metadata":{{"name":"t"}},"specification":{{"api-keys":[{keys}],"rate-per-s":200,"burst-size":200}}}}]}}"#
-    )
-}
--- a/crates/balancer/tests/whole.rs
+++ b/crates/balancer/tests/whole.rs
@@ -2,14 +2,16 @@
 //!
 //! Every machine has an address of its own in 127.0.0.0/8, as in the system every machine has the same ports.
 
+mod operations;
 mod system;
 
+use operations::{ask, config};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
-use system::{ask, config, System, DIRECTORY, FRONT, SOON};
+use system::{System, DIRECTORY, FRONT, SOON};
 
 impl System {
     fn get(&self, at: usize, path: &str, key: &str, id: &str) -> Option<(u16, String)> {
