--- a/crates/gateway/counter-recovery/src/lib.rs
+++ b/crates/gateway/counter-recovery/src/lib.rs
@@ -16,14 +16,18 @@
 //! microseconds.
 #![forbid(unsafe_code)]
 
+mod counter_state;
+mod guards;
 pub mod presence;
 pub mod standing;
 pub mod word;
 
+pub use counter_state::{Answer, Loss, State, Verdict};
+pub use guards::Guards;
+
 use presence::Mark;
 use standing::{Doors, Standing, Use};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 
 /// A time or a length of time, in microseconds.
 pub type Micros = u64;
@@ -46,88 +50,6 @@
 /// Totals are exact to seven digits: this part of one may be missing without meaning anything.
 const ROUNDING: f64 = 1e-6;
 
-/// How a call ended, as far as the history of the counter goes.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
-    /// Added; the total after it.
-    Total(f64),
-    /// Nothing was added: no connection, or turned away.
-    Refused,
-    /// It may have been added: no answer came.
-    Silent,
-}
-
-/// What the counter is held to be.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum State {
-    /// Answers, with all that it should know.
-    #[default]
-    Well,
-    /// Answers late.
-    Slow,
-    /// Takes no calls.
-    Refusing,
-    /// Takes calls and does not answer.
-    Silent,
-    /// Answers, but has lost what it knew; debts are being entered again.
-    Settling,
-}
-
-impl State {
-    /// Whether it answers with all that it should know, in time or late.
-    fn ordinary(self) -> bool {
-        matches!(self, State::Well | State::Slow)
-    }
-}
-
-impl fmt::Display for State {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            State::Well => "well",
-            State::Slow => "slow",
-            State::Refusing => "refusing",
-            State::Silent => "silent",
-            State::Settling => "settling",
-        })
-    }
-}
-
-/// What a total has told of a counter that lost its numbers.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Loss {
-    /// It knew nothing of the name: it came back empty, or is a fresh one.
-    Empty,
-    /// It knew less than it should: another, a half, or one to which others have already entered debts again.
-    Less,
-    /// This limiter's mark of presence is gone from it.
-    Mark,
-}
-
-/// A change of what the counter is held to be, with its evidence.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Verdict {
-    /// What it was.
-    pub from: State,
-    /// What it is.
-    pub to: State,
-    /// For a loss: what kind, the total that was known, and the one that came, both before the call.
-    pub loss: Option<(Loss, f64, f64)>,
-    /// Times that the counter has lost its numbers since this limiter started.
-    pub losses: u32,
-}
-
-impl fmt::Display for Verdict {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "counter {} -> {}", self.from, self.to)?;
-        match self.loss {
-            Some((Loss::Empty, known, _)) => write!(f, ": a count is empty that held {known:.1}"),
-            Some((Loss::Less, known, came)) => write!(f, ": a count holds {came:.1} that held {known:.1}"),
-            Some((Loss::Mark, ..)) => write!(f, ": a mark of presence that it took is gone"),
-            None => Ok(()),
-        }
-    }
-}
-
 /// What is known of one count.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Known {
@@ -178,77 +100,6 @@
     pub verdict: Option<Verdict>,
 }
 
-/// The guards, each of which tests can take out to show that it is needed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Guards {
-    /// A total is never held to be less than what was known.
-    pub memory: bool,
-    /// What a counter lacks of own adds is entered again.
-    pub debts: bool,
-    /// Nothing new is leased while others find out.
-    pub settling: bool,
-    /// Limiters tell each other of a loss.
-    pub news: bool,
-    /// A limiter spends no credit in windows that began before it started.
-    pub start: bool,
-    /// Who leases leaves those their share that may be spending credit.
-    pub leave: bool,
-    /// Credit is spent only where a share is left for it, and of that alone.
-    pub share: bool,
-}
-
-impl Guards {
-    /// All of them.
-    pub const ALL: Guards = Guards {
-        memory: true,
-        debts: true,
-        settling: true,
-        news: true,
-        start: true,
-        leave: true,
-        share: true,
-    };
-    /// None: as if every counter kept its numbers.
-    pub const NONE: Guards = Guards {
-        memory: false,
-        debts: false,
-        settling: false,
-        news: false,
-        start: false,
-        leave: false,
-        share: false,
-    };
-}
-
-impl Guards {
-    /// Names of all of them.
-    pub const NAMES: [&'static str; 7] = ["memory", "debts", "settling", "news", "start", "leave", "share"];
-
-    /// The same without the one of this name; nothing where none is called so.
-    pub fn without(mut self, name: &str) -> Option<Self> {
-        let guard = match name {
-            "memory" => &mut self.memory,
-            "debts" => &mut self.debts,
-            "settling" => &mut self.settling,
-            "news" => &mut self.news,
-            "start" => &mut self.start,
-            "leave" => &mut self.leave,
-            "share" => &mut self.share,
-            _ => return None,
-        };
-        *guard = false;
-        Some(self)
-    }
-}
-
-impl Default for Guards {
-    /// What the daemon runs with: all but `leave` and `share`. On a counter that is slow and loses calls those cost more
-    /// service than they save (`docs/measurements/counter-recovery.md`).
-    fn default() -> Self {
-        Guards { leave: false, share: false, ..Self::ALL }
-    }
-}
-
 /// The history of the counter as one limiter knows it.
 #[derive(Debug, Clone)]
 pub struct Recovery {
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -5,6 +5,7 @@
 //! which take commands and give events and do not know the core; [`conn`] and [`http`] carry messages.
 #![forbid(unsafe_code)]
 
+mod client_request;
 pub mod clients;
 pub mod config;
 pub use limeway_http1::conn;
--- a/crates/testing/gateway-simulation/src/lib.rs
+++ b/crates/testing/gateway-simulation/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod judge;
 pub mod schedule;
+mod setup;
 mod shrink;
 pub mod sim;
 
--- a/crates/testing/scenario/src/draw.rs
+++ b/crates/testing/scenario/src/draw.rs
@@ -1,7 +1,8 @@
 //! Draws a day of a scenario: the same to the byte for the same scenario and seed.
 
 use crate::day::*;
-use crate::file::{Effect, Scenario, ScenarioError, Span};
+use crate::error::ScenarioError;
+use crate::file::{Effect, Scenario, Span};
 use crate::Micros;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/testing/scenario/src/lib.rs
+++ b/crates/testing/scenario/src/lib.rs
@@ -3,16 +3,21 @@
 //! the day as the platform's settings. No I/O.
 #![forbid(unsafe_code)]
 
+mod builtins;
+mod checks;
 pub mod day;
 mod draw;
+mod error;
 pub mod file;
 pub mod links;
 pub mod nemesis;
 pub mod settings;
 
+pub use builtins::{builtin, builtins};
 pub use day::{Arrival, Customer, Day, Event, NodeSpec, What};
 pub use draw::draw;
-pub use file::{builtin, builtins, Scenario, ScenarioError};
+pub use error::ScenarioError;
+pub use file::Scenario;
 
 /// A time or a length of time, in microseconds.
 pub type Micros = u64;
--- a/crates/testing/scenario/src/nemesis.rs
+++ b/crates/testing/scenario/src/nemesis.rs
@@ -1,7 +1,8 @@
 //! Schedules of faults between several limiters, drawn from a seed: each is a timeline that a scenario can hold, so that
 //! it can be written down, changed by hand and played again.
 
-use crate::file::{Entry, ScenarioError};
+use crate::error::ScenarioError;
+use crate::file::Entry;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
