--- a/crates/balancer/src/control_api/mod.rs
+++ b/crates/balancer/src/control_api/mod.rs
@@ -66,7 +66,7 @@
 }
 
 async fn serve(replica: Rc<Replica>, mut inbound: Inbound) {
-    let bounds = Bounds { body: MAX_BODY_BYTES, whole: CALL_TIMEOUT, idle: IDLE_TIMEOUT };
+    let bounds = Bounds { body: MAX_BODY_BYTES, read_timeout: CALL_TIMEOUT, idle: IDLE_TIMEOUT };
     loop {
         let mut out = Vec::new();
         let message = match inbound.read(bounds).await {
--- a/crates/balancer/src/proxy/mod.rs
+++ b/crates/balancer/src/proxy/mod.rs
@@ -168,7 +168,7 @@
 fn bounds(limits: &Limits) -> Bounds {
     Bounds {
         body: limits.max_body_bytes.min(MAX_BODY_BYTES),
-        whole: Duration::from_micros(limits.header_timeout),
+        read_timeout: Duration::from_micros(limits.header_timeout),
         // The idle timeout may change while a connection is idle: `next_request` watches it.
         idle: MAX_IDLE_TIMEOUT,
     }
--- a/crates/balancer/src/proxy/upstream.rs
+++ b/crates/balancer/src/proxy/upstream.rs
@@ -217,7 +217,7 @@
         mut active: ActiveConnection,
         reply: &Reply,
     ) {
-        let stated = reply.head.kept_for(&reply.bytes).map(Duration::from_secs);
+        let stated = reply.head.keep_alive_seconds(&reply.bytes).map(Duration::from_secs);
         let max_idle_time =
             stated.map_or(MAX_IDLE_TIME, |stated| stated.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME));
         active.conn.rest();
--- a/crates/balancer/src/readiness.rs
+++ b/crates/balancer/src/readiness.rs
@@ -12,7 +12,8 @@
 const ACCEPT_LIMITS: AcceptLimits =
     AcceptLimits { max_connections: 400, retry_delay: Duration::from_millis(50) };
 /// What a request may be.
-const BOUNDS: Bounds = Bounds { body: 1024, whole: Duration::from_secs(2), idle: Duration::from_secs(5) };
+const BOUNDS: Bounds =
+    Bounds { body: 1024, read_timeout: Duration::from_secs(2), idle: Duration::from_secs(5) };
 
 /// Answers probes and directory requests for ever.
 pub(crate) async fn listen(gateway: Rc<Gateway>, listener: TcpListener) {
--- a/crates/data/http1/src/conn.rs
+++ b/crates/data/http1/src/conn.rs
@@ -18,7 +18,7 @@
 /// Answers of the kind 1xx ahead of the real one, at most.
 const MAX_INTERIM: u32 = 8;
 /// Largest buffer that an idle connection keeps, in bytes.
-const BUFFER_KEPT: usize = 4 * 1024;
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Counts what is open for as long as it lives.
 pub struct Counted(Rc<Cell<usize>>);
@@ -151,7 +151,7 @@
     /// Marks it as idle from now on; a buffer that has grown is let go.
     pub fn rest(&mut self) {
         self.since = Instant::now();
-        if self.buffer.capacity() > BUFFER_KEPT {
+        if self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             self.buffer = BytesMut::new();
         }
     }
@@ -206,8 +206,8 @@
         }
         // A body that goes on to the end of its connection may be cut short unseen.
         let open_end = head.framing == http::Framing::UntilClose;
-        let whole = if self.strict { 200..300 } else { 200..201 };
-        if open_end && whole.contains(&head.status) {
+        let success = if self.strict { 200..300 } else { 200..201 };
+        if open_end && success.contains(&head.status) {
             return Err(Broken::Spoilt("no length"));
         }
         let make = if self.strict { Body::new } else { Body::lenient };
--- a/crates/data/http1/src/http.rs
+++ b/crates/data/http1/src/http.rs
@@ -78,8 +78,8 @@
     pub headers: Vec<(Range<usize>, Range<usize>)>,
 }
 
-/// Place of a part in the whole that it was cut from.
-fn place(whole: &[u8], part: &[u8]) -> Range<usize> {
+/// The range of a part within the bytes that it was cut from.
+fn range_in(whole: &[u8], part: &[u8]) -> Range<usize> {
     let start = (part.as_ptr() as usize).saturating_sub(whole.as_ptr() as usize);
     start..start + part.len()
 }
@@ -142,7 +142,7 @@
 }
 
 fn places(bytes: &[u8], headers: &[httparse::Header]) -> Vec<(Range<usize>, Range<usize>)> {
-    headers.iter().map(|h| (place(bytes, h.name.as_bytes()), place(bytes, h.value))).collect()
+    headers.iter().map(|h| (range_in(bytes, h.name.as_bytes()), range_in(bytes, h.value))).collect()
 }
 
 /// Reads a request's head, for a body of [`MAX_BODY`]; nothing while it is not whole.
@@ -184,8 +184,8 @@
         framing,
         keep_alive: keep_alive(parsed.headers, parsed.version.unwrap_or(0)),
         status: 0,
-        method: place(bytes, method.as_bytes()),
-        target: place(bytes, target.as_bytes()),
+        method: range_in(bytes, method.as_bytes()),
+        target: range_in(bytes, target.as_bytes()),
         headers: places(bytes, parsed.headers),
     }))
 }
@@ -228,7 +228,7 @@
     }
 
     /// How long the other side keeps the connection idle, in seconds, where it says so.
-    pub fn kept_for(&self, bytes: &[u8]) -> Option<u64> {
+    pub fn keep_alive_seconds(&self, bytes: &[u8]) -> Option<u64> {
         let value = self.header(bytes, "keep-alive")?;
         let mut parts = value.split(|b| *b == b',').filter_map(|p| std::str::from_utf8(p.trim_ascii()).ok());
         parts
--- a/crates/data/http1/src/inbound.rs
+++ b/crates/data/http1/src/inbound.rs
@@ -12,7 +12,7 @@
 /// After an error, what is still on its way is read for so long, lest the answer be lost to a reset.
 const LINGER: Duration = Duration::from_millis(300);
 /// Bytes of a buffer that are kept.
-const BUFFER_KEPT: usize = 4 * 1024;
+const MAX_IDLE_BUFFER_BYTES: usize = 4 * 1024;
 
 /// What one request may be.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     /// Longest body, in bytes.
     pub body: usize,
     /// Longest time from its first byte to its last.
-    pub whole: Duration,
+    pub read_timeout: Duration,
     /// Longest rest between two requests.
     pub idle: Duration,
 }
@@ -88,7 +88,7 @@
     /// nothing is lost.
     pub async fn ready(&mut self, bounds: Bounds) -> Result<(), Stop> {
         if self.buffer.is_empty() {
-            if self.buffer.capacity() > BUFFER_KEPT {
+            if self.buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
                 self.buffer = BytesMut::new();
             }
             let until = self.since + bounds.idle;
@@ -103,7 +103,7 @@
     /// Reads the next request.
     pub async fn read(&mut self, bounds: Bounds) -> Result<Message, Stop> {
         self.ready(bounds).await?;
-        let until = Instant::now() + bounds.whole;
+        let until = Instant::now() + bounds.read_timeout;
         let status = |e: HttpError| {
             Stop::Status(match e {
                 HttpError::Malformed => 400,
--- a/crates/data/http1/tests/codec.rs
+++ b/crates/data/http1/tests/codec.rs
@@ -172,7 +172,7 @@
 #[case("HTTP/1.1 200 OK\r\n\r\n", None)]
 fn how_long_the_other_side_keeps_a_connection(#[case] text: &str, #[case] seconds: Option<u64>) {
     let head = http::answer(text.as_bytes()).expect("reads").expect("whole");
-    assert_eq!(head.kept_for(text.as_bytes()), seconds);
+    assert_eq!(head.keep_alive_seconds(text.as_bytes()), seconds);
 }
 
 fn chunked(parts: &[Vec<u8>]) -> Vec<u8> {
--- a/crates/testing/load-generator/src/servers.rs
+++ b/crates/testing/load-generator/src/servers.rs
@@ -75,8 +75,11 @@
             let server = self.clone();
             tokio::task::spawn_local(async move {
                 let mut inbound = Inbound::new(stream);
-                let bounds =
-                    Bounds { body: 1 << 20, whole: Duration::from_secs(5), idle: Duration::from_secs(10) };
+                let bounds = Bounds {
+                    body: 1 << 20,
+                    read_timeout: Duration::from_secs(5),
+                    idle: Duration::from_secs(10),
+                };
                 while let Ok(message) = inbound.read(bounds).await {
                     let answer = server.answer(&message).await;
                     if !inbound.write(&answer).await || !message.head.keep_alive {
