--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request at servers. What may follow an attempt is decided by [`limeway_load_balancing::verdict`], which server
+//! The attempts of one request at servers. What may follow an attempt is decided by [`limeway_load_balancing::attempts`], which server
 //! is next by its [`limeway_load_balancing::Selector`].
 
 use super::local_response::LocalResponse;
@@ -61,8 +61,8 @@
         tried: Vec::new(),
         hedge: None,
     };
-    let verdict = RequestAttempts::new(upstream.idempotent, route.max_attempts.min(MAX_ATTEMPTS));
-    attempts.run(verdict, started + route.target_latency / CAPACITY_WAIT_DIVISOR, server_time).await
+    let request_attempts = RequestAttempts::new(upstream.idempotent, route.max_attempts.min(MAX_ATTEMPTS));
+    attempts.run(request_attempts, started + route.target_latency / CAPACITY_WAIT_DIVISOR, server_time).await
 }
 
 /// A server that was chosen for an attempt.
@@ -88,27 +88,27 @@
     /// Tries servers until one answers, or none may be tried any more.
     async fn run(
         &mut self,
-        mut verdict: RequestAttempts,
+        mut request_attempts: RequestAttempts,
         capacity_deadline: Timestamp,
         server_time: &Cell<Micros>,
     ) -> Result<Reply, LocalResponse> {
         let mut failure = None;
-        while verdict.may_continue() && now() < self.deadline {
-            let Some(server) = self.next_server(&verdict, capacity_deadline).await else { break };
+        while request_attempts.may_continue() && now() < self.deadline {
+            let Some(server) = self.next_server(&request_attempts, capacity_deadline).await else { break };
             self.tried.push(server.id.clone());
             let sent = now();
-            let Some((learnt, reply)) = self.attempt(&verdict, &server).await else { continue };
-            match (verdict.record(learnt), reply) {
+            let Some((outcome, reply)) = self.attempt(&request_attempts, &server).await else { continue };
+            match (request_attempts.record(outcome), reply) {
                 (NextStep::Forward, Some(reply)) => {
                     // If it took more than one attempt, the other time is not ours alone.
                     server_time.set(if self.tried.len() == 1 { now() - sent } else { 0 });
                     return Ok(reply);
                 }
-                (_, Some(reply)) if learnt == AttemptResult::Failed => failure = Some(reply),
+                (_, Some(reply)) if outcome == AttemptResult::Failed => failure = Some(reply),
                 _ => {}
             }
         }
-        match (verdict.conclude(now() >= self.deadline), failure) {
+        match (request_attempts.conclude(now() >= self.deadline), failure) {
             (Conclusion::Failure, Some(reply)) => Ok(reply),
             (Conclusion::Failure | Conclusion::Unknown, _) => Err(LocalResponse::new(502)),
             (Conclusion::TimedOut, _) => Err(LocalResponse::new(504)),
@@ -119,13 +119,13 @@
     /// The next server. Waits a little for one with room while no server may have executed the request.
     async fn next_server(
         &mut self,
-        verdict: &RequestAttempts,
+        request_attempts: &RequestAttempts,
         capacity_deadline: Timestamp,
     ) -> Option<ChosenServer> {
         if let Some(chosen) = self.hedge.take() {
             return Some(chosen);
         }
-        let is_first = verdict.sent() == 0;
+        let is_first = request_attempts.sent() == 0;
         let wait_until = if is_first { capacity_deadline.min(self.deadline) } else { 0 };
         let chosen = loop {
             match self.choose(false) {
@@ -170,7 +170,7 @@
     /// One attempt at a server: what it teaches, and the response, if there is one. None if the server is gone meanwhile.
     async fn attempt(
         &mut self,
-        verdict: &RequestAttempts,
+        request_attempts: &RequestAttempts,
         server: &ChosenServer,
     ) -> Option<(AttemptResult, Option<Reply>)> {
         let gateway = self.gateway;
@@ -185,16 +185,16 @@
         tokio::pin!(exchange);
         let result = loop {
             let left = self.deadline.saturating_sub(now());
-            let wait = if verdict.may_hedge() { hedge_delay.min(left) } else { left };
+            let wait = if request_attempts.may_hedge() { hedge_delay.min(left) } else { left };
             match timeout(Duration::from_micros(wait), &mut exchange).await {
                 Ok(result) => break Some(result),
                 Err(_) if now() >= self.deadline || self.hedges() => break None,
                 Err(_) => {}
             }
         };
-        let (learnt, reply, outcome) = assess(result, now() - started, sent.get());
+        let (outcome, reply, outcome) = assess(result, now() - started, sent.get());
         report.report(outcome);
-        Some((learnt, reply))
+        Some((outcome, reply))
     }
 
     /// How long a server may take before the request may leave it.
@@ -214,14 +214,14 @@
 ) -> (AttemptResult, Option<Reply>, Outcome) {
     match result {
         Some(UpstreamResult::Response(reply)) => {
-            let learnt = response_head(&reply).result();
-            let outcome = match learnt {
+            let outcome = response_head(&reply).result();
+            let outcome = match outcome {
                 AttemptResult::Final | AttemptResult::Failed => Outcome::Answered(took),
                 AttemptResult::NotExecuted => Outcome::Full,
                 AttemptResult::Moved => Outcome::Moved,
                 AttemptResult::NotSent | AttemptResult::Unknown => Outcome::Broken,
             };
-            (learnt, Some(reply), outcome)
+            (outcome, Some(reply), outcome)
         }
         Some(UpstreamResult::NotSent) => (AttemptResult::NotSent, None, Outcome::Broken),
         Some(UpstreamResult::Broken) => (AttemptResult::Unknown, None, Outcome::Broken),
--- a/crates/control/control-plane/src/messages.rs
+++ b/crates/control/control-plane/src/messages.rs
@@ -137,7 +137,7 @@
     /// The shards that it votes for.
     #[serde(rename = "d")]
     pub granted: Vec<usize>,
-    /// The full service registry, if it was desired.
+    /// The full service registry, if the sender wants it.
     #[serde(rename = "w")]
     pub servers: Vec<ServerReport>,
 }
--- a/crates/data/settings/src/lib.rs
+++ b/crates/data/settings/src/lib.rs
@@ -57,7 +57,7 @@
     pub inner_ports: PortRange,
     /// `control-plane` addresses of some machines.
     pub seeds: Vec<SocketAddr>,
-    /// The integer system starts for the first time, on empty disks.
+    /// The whole system starts for the first time, on empty disks.
     pub initial_start: bool,
     /// The loss of this machine counts against `tolerated_losses`.
     pub loss_counted: bool,
--- a/crates/testing/simulation/src/clients.rs
+++ b/crates/testing/simulation/src/clients.rs
@@ -12,43 +12,43 @@
 const OPERATORS: usize = 2;
 /// Servers.
 const SERVERS: usize = 2;
-/// Limiters.
+/// Gateways.
 pub const LIMITERS: usize = 2;
 
-/// What an operator wants.
+/// What an operator asks for.
 #[derive(Debug, Clone)]
 pub enum OperatorRequest {
-    /// A change.
+    /// A configuration update.
     Order(ConfigUpdate),
-    /// The newest configuration.
+    /// To read the newest configuration.
     Read,
-    /// A zone evacuated, or that taken back.
+    /// To start or end the evacuation of a zone.
     Evacuate(&'static str, bool),
 }
 
-/// Something that an operator has sent and not had a clear answer to.
+/// A request of an operator without a final response.
 #[derive(Debug)]
 pub struct PendingRequest {
     pub(crate) operator: usize,
-    /// What.
+    /// What is asked for.
     pub request: OperatorRequest,
-    /// When it was sent first.
+    /// When it was first sent.
     pub begun: Micros,
-    /// When it was sent last.
+    /// When it was last sent.
     pub sent: Micros,
     pub(crate) attempts: u64,
 }
 
-/// A limiter.
+/// A gateway.
 #[derive(Debug)]
 pub struct Limiter {
-    /// What it knows.
+    /// Its state cache.
     pub cache: StateCache,
-    /// Its clock shows so much more.
+    /// How far its clock is ahead.
     pub offset: Micros,
     pub(crate) above: (u64, u64, u64),
     pub(crate) failed: BTreeMap<usize, Micros>,
-    /// The poll under way: its number, whom, when, and the slot it was sent with.
+    /// The long poll in flight: its number, its upstream, when it was sent, and the slot it was sent with.
     pub(crate) poll: (u64, usize, Micros, u64),
     pub(crate) reported_to: [limeway_membership::Holder; SHARDS],
 }
@@ -64,24 +64,24 @@
     pub(crate) sent: u64,
 }
 
-/// All of them.
+/// All clients.
 #[derive(Debug)]
 pub struct Workload {
     pub(crate) known: [u32; OPERATORS],
-    /// What is under way.
+    /// Requests in flight.
     pub pending_requests: BTreeMap<u64, PendingRequest>,
     pub(crate) last: u64,
-    /// The limiters.
+    /// The gateways.
     pub limiters: Vec<Limiter>,
     pub(crate) servers: Vec<Server>,
-    /// Lives of servers whose end was acknowledged.
+    /// Incarnations of servers whose deregistration was acknowledged.
     pub gone: Vec<String>,
-    /// Machines that read back well at the end.
+    /// Machines that have answered the final read.
     pub read: Vec<usize>,
 }
 
 impl Workload {
-    /// Nobody has done anything yet.
+    /// Clients that have done nothing yet.
     pub fn new(rng: &mut Rng) -> Self {
         let limiter = |at: usize, rng: &mut Rng| Limiter {
             cache: StateCache::new(1_000 + at as u64),
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Everyone who acts of himself.
+    /// All clients that act on their own.
     pub fn all(&self) -> Vec<Actor> {
         let operators = (0..OPERATORS).map(Actor::Operator);
         operators.chain((0..LIMITERS).map(Actor::Limiter)).chain((0..SERVERS).map(Actor::Server)).collect()
     }
 
-    /// The pending that someone api_callers for, if it is one.
+    /// The pending request that a client sends, if it is one.
     pub fn asked_of(&self, who: Actor) -> Option<&PendingRequest> {
         match who {
             Actor::PendingRequest(number, _) => self.pending_requests.get(&number),
--- a/crates/testing/simulation/src/cluster.rs
+++ b/crates/testing/simulation/src/cluster.rs
@@ -14,23 +14,23 @@
 use limeway_quota::QuotaRule;
 use std::collections::BTreeMap;
 
-/// Machines that may come as the replacement of others, at most.
+/// Upper bound on machines that join as replacements.
 const REPLACEMENTS: usize = 2;
-/// A process that is told to end is killed after so long.
+/// Time from SIGTERM to SIGKILL.
 const GRACE: Micros = 6 * SECOND;
-/// The play goes on for so long after the last fault.
+/// How long a run continues after the last fault.
 pub const RUN_ON: Micros = 14 * SECOND;
-/// Pause between two looks at what should have come about.
+/// Interval between two checks of progress.
 const CHECK_INTERVAL: Micros = 250_000;
 
 /// Machines, network, workload and invariants, with the events in the order of their times.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What is played.
+    /// The schedule that is run.
     pub schedule: Schedule,
-    /// Which guard is off.
+    /// The guard that is disabled.
     pub disabled: DisabledGuard,
-    /// The time.
+    /// The current virtual time.
     pub t: Micros,
     seq: u64,
     events: BTreeMap<(Micros, u64), SimEvent>,
@@ -42,13 +42,13 @@
     last_caller: CallerId,
     pub(crate) rng: Rng,
     pub(crate) workload: Workload,
-    /// What is checked.
+    /// The invariants.
     pub invariants: Invariants,
-    /// Events played.
+    /// Events handled so far.
     pub event_count: u64,
 }
 
-/// A machine's name among the others.
+/// A machine's node id.
 pub fn node(at: usize) -> NodeId {
     at as NodeId + 1
 }
@@ -132,7 +132,7 @@
         self.events.insert((at, self.seq), ev);
     }
 
-    /// Plays to the end, or to the first thing that is broken: what that is, if any.
+    /// Runs to the end, or to the first violation, which is returned.
     pub fn play(&mut self) -> Option<String> {
         let end = self.schedule.heal + RUN_ON;
         while let Some(((at, seq), ev)) = self.events.pop_first() {
@@ -153,7 +153,7 @@
         self.at_end()
     }
 
-    /// A process that stands still takes its events in when it goes on.
+    /// A stalled process handles its events once it resumes.
     fn waits_for(&self, ev: &SimEvent) -> Option<Micros> {
         let at = match ev {
             SimEvent::Tick(at, ..)
@@ -223,7 +223,7 @@
     fn start(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         if machine.process.is_none() && machine.ends == Some(false) {
-            // It was to go, and was killed before it was told.
+            // It was to leave for good, and was killed before its SIGTERM.
             (machine.exists, machine.without_power) = (false, true);
         }
         if machine.process.is_some() || machine.ends == Some(false) || machine.down {
@@ -239,7 +239,7 @@
         };
         let machine = &mut self.machines[at];
         if !machine.exists {
-            // One that comes for the first time has its time to catch up, as one that comes back.
+            // A new machine gets time to catch up, as a returning one does.
             machine.lost.1 = self.t;
         }
         (machine.exists, machine.without_power, machine.first, machine.ends) = (true, false, false, None);
@@ -273,7 +273,7 @@
         self.perform(at, out);
     }
 
-    /// A machine's process takes an event in, and what it decides is done.
+    /// Hands an event to a machine's process and carries out its actions.
     pub(crate) fn handle(&mut self, at: usize, event: Event) {
         let (t, machine) = (self.t, &mut self.machines[at]);
         let now = t + machine.offset;
@@ -353,7 +353,7 @@
         }
     }
 
-    /// A message sets out.
+    /// Sends a message.
     pub(crate) fn post(&mut self, way: (usize, usize), size: u64, ev: SimEvent) {
         match self.network.pass(self.t, way, size, &mut self.rng) {
             Fate::Arrives(at) => self.push(at, ev),
@@ -424,7 +424,7 @@
         }
     }
 
-    /// A machine's process ends at once; some of what was on its way to the disk is written.
+    /// Ends a machine's process at once; some of its writes in flight reach the disk.
     pub(crate) fn kill(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         let Some(process) = machine.process.take() else { return };
@@ -435,7 +435,7 @@
         self.invariants.ended(at);
         self.callers.retain(|_, (_, by)| *by != at);
         let without_power = self.machines[at].without_power;
-        // What waited for an answer of it is reset, where the machine still has power.
+        // Calls to it are reset if the machine still has power.
         if !without_power {
             self.reset(at, None);
         }
@@ -445,7 +445,7 @@
         }
     }
 
-    /// All calls to a machine, from one or from all, end without an answer.
+    /// Fails all calls to a machine, from one machine or from all.
     pub(crate) fn reset(&mut self, at: usize, from: Option<usize>) {
         let mut ends = Vec::new();
         for (other, machine) in self.machines.iter().enumerate().filter(|(o, _)| from.is_none_or(|f| f == *o))
@@ -464,7 +464,7 @@
         }
     }
 
-    /// A process that was told to end has ended.
+    /// A process has exited after SIGTERM.
     fn ended(&mut self, at: usize) {
         self.kill(at);
         if self.machines[at].ends != Some(false) {
--- a/crates/testing/simulation/src/disabled_guard.rs
+++ b/crates/testing/simulation/src/disabled_guard.rs
@@ -1,34 +1,34 @@
-//! Guards that can be taken away. Nothing is switched in the state machines: what goes in or out of them is tampered with.
+//! Guards that can be disabled. The state machines have no switches: their inputs and outputs are tampered with.
 
 use crate::cluster::{node, Cluster};
 use limeway_control_plane::messages::{Call, HeartbeatReply, PeerStatus, Reply};
 
-/// Which guard is off.
+/// The guard that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledGuard {
     /// None.
     None,
-    /// A word leaves a machine before its write is done.
+    /// Replies leave a machine before its write is done.
     RepliesBeforeWrites,
-    /// A write that failed is told as done.
+    /// Failed writes are reported as done.
     FailedWrites,
     /// A machine that lost its disk votes with the incarnation of the old one.
     OldDiskIncarnation,
-    /// All incarnations of a process hold proposals under one number.
+    /// All incarnations of a process use the same proposal numbers.
     OneProcessIncarnation,
-    /// Machines that held a voter are not remembered for their role leases.
+    /// Former voters are not remembered for their role leases.
     FormerVoters,
-    /// Actor does not answer a round counts as one that has nothing newer.
+    /// A replica that does not answer a heartbeat round counts as one that has nothing newer.
     QuorumContact,
-    /// Nobody says that a value is accepted and not applied yet.
+    /// Heartbeats do not say that a value is accepted and not applied yet.
     AcceptedValues,
-    /// A candidate is given a voter before its disk has the state.
+    /// A candidate becomes a voter before the state is on its disk.
     CandidateCatchUp,
-    /// What a limiter is told is taken to be as old as its arrival.
+    /// Gateways take a response to be as old as its arrival.
     ResponseAges,
 }
 
-/// All of them.
+/// All guards.
 pub const ALL: [DisabledGuard; 9] = [
     DisabledGuard::RepliesBeforeWrites,
     DisabledGuard::FailedWrites,
@@ -42,7 +42,7 @@
 ];
 
 impl Cluster {
-    /// How a machine stands, as one would have it that nobody asked.
+    /// The status of a machine that has not been heard.
     fn forged_status(&self, at: usize) -> PeerStatus {
         let (node, incarnation) = (node(at), self.machines[at].disk.acceptor.disk);
         let (counted, sound, has_quorum, leaving) = (true, true, true, false);
--- a/crates/testing/simulation/src/disk.rs
+++ b/crates/testing/simulation/src/disk.rs
@@ -7,20 +7,20 @@
 use limeway_routing_config::State;
 use std::collections::VecDeque;
 
-/// What a machine has on disk, and what is on its way there.
+/// What a machine has on disk, and its writes in flight.
 #[derive(Debug, Clone)]
 pub struct Disk {
-    /// The part in proposals.
+    /// The acceptor.
     pub acceptor: Acceptor,
-    /// The state.
+    /// The agreed state.
     pub state: State,
     queue: VecDeque<(WriteId, LogRecord)>,
     failed: bool,
-    /// It refuses writes.
+    /// Whether it refuses writes.
     pub full: bool,
-    /// It does nothing until then.
+    /// Until when it is stalled.
     pub hangs: Micros,
-    /// How long a write takes.
+    /// Duration of a write.
     pub sync: Micros,
 }
 
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Takes a record in. True if none was under way: its end is to be waited for.
+    /// Queues a record. True if none was in flight, so that the end of this one has to be scheduled.
     pub fn push(&mut self, job: WriteId, record: LogRecord) -> bool {
         self.queue.push_back((job, record));
         self.queue.len() == 1
     }
 
-    /// The first record under way ends: its job, and whether it is on disk.
+    /// Ends the first write in flight: its id, and whether the record is on disk.
     pub fn end(&mut self) -> Option<(WriteId, Result<bool, String>)> {
         let (job, record) = self.queue.pop_front()?;
         if self.full || (self.failed && record.snapshot.is_none()) {
@@ -55,7 +55,7 @@
         Some((job, self.apply(record).map(|()| true)))
     }
 
-    /// Records under way.
+    /// Writes in flight.
     pub fn waits(&self) -> usize {
         self.queue.len()
     }
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// The process or the power ends: some of what is under way is still written, in order.
+    /// The process or the power fails: a prefix of the writes in flight still reaches the disk.
     pub fn interrupt(&mut self, rng: &mut Rng) -> Result<(), String> {
         let kept = rng.below(self.queue.len() as u64 + 1);
         let writes = !self.full && !self.failed;
--- a/crates/testing/simulation/src/event.rs
+++ b/crates/testing/simulation/src/event.rs
@@ -3,59 +3,59 @@
 use limeway_control_plane::messages::{Call, Reply};
 use limeway_control_plane::{ApiRequest, ApiResponse, RequestId};
 
-/// Someone who waits for something, and for which of his attempts.
+/// A client that waits, and for which of its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Actor {
-    /// An operator's next order is due.
+    /// An operator's next request is due.
     Operator(usize),
-    /// A pending's try.
+    /// The next attempt of a pending request.
     PendingRequest(u64, u64),
-    /// A limiter's next poll.
+    /// A gateway's next poll.
     Limiter(usize),
     /// A server's next report.
     Server(usize),
-    /// A server's last word, and its try.
+    /// A server's deregistration, and its attempt.
     Gone(usize, u64),
-    /// A read at the end, of this machine.
+    /// The final read from this machine.
     Reader(usize),
 }
 
-/// Who called.
+/// The caller of a replica.
 #[derive(Debug, Clone, Copy)]
 pub enum Origin {
-    /// A replica, in a incarnation of its process, by this ticket.
+    /// A replica: its machine, process incarnation and request id.
     Machine(usize, u64, RequestId),
-    /// A limiter: its number, and that of the call.
+    /// A gateway: its number, and that of the call.
     Limiter(usize, u64),
 }
 
-/// What one_in_thousand_of.
+/// What happens.
 #[derive(Debug)]
 pub enum SimEvent {
-    /// A machine's process wanted to be woken.
+    /// A timer of a machine's process expires.
     Tick(usize, u64, u64),
     /// A call arrives.
     Call(usize, Origin, Call),
-    /// An answer arrives, or the time for it is over.
+    /// A response arrives, or the call times out.
     Answer(Origin, Option<Reply>),
-    /// The first write under way on a machine's disk ends.
+    /// The first write in flight on a machine's disk ends.
     Disk(usize, u64),
     /// A machine's process starts.
     Start(usize),
-    /// A process that was told to end is killed.
+    /// A process that got SIGTERM is killed.
     Grace(usize, u64),
     /// A fault begins.
     Begin(usize),
     /// A fault ends.
     End(usize),
-    /// A process is told to end.
+    /// A process gets SIGTERM.
     Leave(usize),
-    /// An operator or a server api_callers a machine.
+    /// A request of an operator or a server arrives at a machine.
     Ask(usize, Actor, ApiRequest),
-    /// It is told.
+    /// Its response arrives.
     Told(Actor, Option<ApiResponse>),
-    /// Someone's time has come.
+    /// A client's timer expires.
     Wake(Actor),
-    /// What should have come about is looked at.
+    /// Progress is checked.
     Check,
 }
--- a/crates/testing/simulation/src/faults.rs
+++ b/crates/testing/simulation/src/faults.rs
@@ -17,11 +17,11 @@
         }
     }
 
-    /// The links that a cut takes: from and to.
+    /// The links that a partition cuts: from and to.
     fn links(&self, fault: &Fault) -> Vec<(usize, usize)> {
         let Fault::Cut { who, peers, out, into } = fault else { return Vec::new() };
         let cores = self.machines.len();
-        // Actor is cut off from all is cut off from those that come later, too, and from limiters if both links are cut.
+        // A machine that is cut off from all is cut off from later ones, too, and from gateways if both directions are cut.
         let all = peers.len() + 1 == self.schedule.machines;
         let ends = if *out && *into { cores + LIMITERS } else { cores };
         let peers: Vec<usize> = if all { (0..ends).filter(|p| p != who).collect() } else { peers.clone() };
@@ -104,7 +104,7 @@
             }
             Fault::AllDown => {
                 for at in 0..self.machines.len() {
-                    // Actor is down for another reason comes back when that ends.
+                    // A machine that is down for another reason comes back when that ends.
                     if self.machines[at].exists {
                         let soon = self.t + self.rng.below(300_000);
                         self.push(soon, SimEvent::Start(at));
@@ -124,7 +124,7 @@
             Fault::Storm => self.network.loss = 0,
             _ => {}
         }
-        // Settings files name machines of this moment.
+        // Settings files name the machines of this moment.
         let live: Vec<u32> =
             (0..self.machines.len()).filter(|m| self.machines[*m].exists).map(crate::cluster::node).collect();
         for at in 0..self.machines.len() {
--- a/crates/testing/simulation/src/invariants.rs
+++ b/crates/testing/simulation/src/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step, and what must have come about after a while.
+//! What must hold after every event.
 
 use crate::clients::{Limiter, OperatorRequest, PendingRequest};
 use crate::machine::Machine;
@@ -9,16 +9,16 @@
 use limeway_routing_config::State;
 use std::collections::BTreeMap;
 
-/// Events that a process takes in a second, at most.
+/// Upper bound on the events that a process handles in a second.
 const MAX_EVENTS_PER_SECOND: u32 = 4_000;
-/// What a state machine has waiting, at most.
+/// Upper bound on what a state machine has pending.
 const MAX_PENDING: usize = 2_000;
 
-/// What has been seen, and the first invariant that is broken.
+/// What has been observed, and the first violation.
 #[derive(Debug)]
 pub struct Invariants {
     disabled: DisabledGuard,
-    /// The first thing that is broken.
+    /// The first violation.
     pub broken: Option<String>,
     /// The one state of each slot.
     pub(crate) states: BTreeMap<Slot, State>,
@@ -30,17 +30,17 @@
     held: BTreeMap<usize, (Vec<usize>, Slot)>,
     boards: BTreeMap<usize, (Slot, Micros)>,
     pub(crate) asked_back: bool,
-    /// Orders told done, refused, and reads.
+    /// Updates answered as done, updates rejected, and reads.
     pub tally: [usize; 3],
 }
 
-/// The version of a document.
+/// The version that a document carries.
 pub fn version(text: &str) -> Option<u32> {
     u32::from_str_radix(text.split('"').nth(3)?, 16).ok()
 }
 
 impl Invariants {
-    /// Nothing has happened.
+    /// Nothing observed yet.
     pub fn new(disabled: DisabledGuard) -> Self {
         Invariants {
             disabled,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Something is broken.
+    /// Records a violation; the first one counts.
     pub fn fail(&mut self, what: String) {
         self.broken.get_or_insert(what);
     }
@@ -77,7 +77,7 @@
         acks.fold((0, 0), |(slot, version), (_, s, v)| (slot.max(*s), version.max(*v)))
     }
 
-    /// A slot has one state, whoever shows it.
+    /// A slot has one state on all machines.
     fn state(&mut self, whose: String, state: &State) {
         let mut state = state.clone();
         if self.disabled == DisabledGuard::FormerVoters {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A machine has taken an event in.
+    /// A machine has handled an event.
     pub fn after(&mut self, t: Micros, at: usize, machines: &mut [Machine]) {
         let machine = &mut machines[at];
         let now = t + machine.offset;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A machine's process has ended: a new one begins anew.
+    /// A machine's process has ended: the next one starts from nothing.
     pub fn ended(&mut self, at: usize) {
         self.held.remove(&at);
     }
@@ -187,7 +187,7 @@
         }
     }
 
-    /// A limiter has taken a response in.
+    /// A gateway has applied a response.
     pub fn check_limiter(&mut self, t: Micros, at: usize, limiter: &Limiter) {
         let (slot, sure) =
             (limiter.cache.state.slot, limiter.cache.confirmed_at.saturating_sub(limiter.offset));
--- a/crates/testing/simulation/src/machine.rs
+++ b/crates/testing/simulation/src/machine.rs
@@ -10,12 +10,12 @@
 pub struct Process {
     /// Its state machine.
     pub replica: ControlPlane,
-    /// Which of the machine's processes it is.
+    /// Its process incarnation.
     pub incarnation: u64,
-    /// Calls without an answer: whom, and whether it is a round.
+    /// Calls in flight: to whom, and whether it is a heartbeat.
     pub(crate) open: BTreeMap<RequestId, (usize, bool)>,
     pub(crate) tick: u64,
-    /// The second of virtual time, and events in it.
+    /// The current second of virtual time, and the events handled in it.
     pub busy: (Micros, u32),
 }
 
@@ -26,27 +26,27 @@
     pub process: Option<Process>,
     /// Its disk.
     pub disk: Disk,
-    /// It has been there, and is not gone for good.
+    /// It has joined and has not left for good.
     pub exists: bool,
-    /// It is without power: it answers nothing, and refuses nothing.
+    /// It is without power: it neither answers nor refuses.
     pub without_power: bool,
-    /// Its process does nothing until then.
+    /// Until when its process is stalled.
     pub frozen: Micros,
-    /// Its clock shows so much more.
+    /// How far its clock is ahead.
     pub offset: Micros,
-    /// Faults that it is lost by, and when the last of them ended.
+    /// Faults in force that make it lost, and when the last of them ended.
     pub lost: (u32, Micros),
-    /// It has to come back, or to go for good, once its process has ended.
+    /// Whether it restarts or leaves for good once its process has ended.
     pub ends: Option<bool>,
-    /// A fault keeps its process from running.
+    /// Whether a fault keeps its process from running.
     pub down: bool,
-    /// It has not been started yet, and is part of the first start of the whole system.
+    /// It has not been started yet and takes part in the initial start.
     pub first: bool,
     pub(crate) incarnations: u64,
 }
 
 impl Machine {
-    /// Whether nothing has ailed it for so long.
+    /// Whether it has been without faults for so long.
     pub fn is_healthy_for(&self, t: Micros, long: Micros) -> bool {
         self.exists && self.lost.0 == 0 && t >= self.lost.1 + long
     }
--- a/crates/testing/simulation/src/main.rs
+++ b/crates/testing/simulation/src/main.rs
@@ -4,7 +4,7 @@
 use limeway_simulation::{disabled_guard, runner, DisabledGuard, Schedule};
 use std::process::ExitCode;
 
-/// Schedules that `digest` plays where nothing is said.
+/// Default number of schedules that `digest` runs.
 const DIGEST_SEEDS: u64 = 200;
 
 /// The command line.
@@ -13,7 +13,7 @@
     xflags::xflags! {
         /// The replicas' state machines under simulated faults, in virtual time.
         cmd limeway-simulation {
-            /// Plays schedules until one fails, and partitions that down.
+            /// Runs schedules until one fails, and shrinks that.
             cmd play {
                 /// How many (1000).
                 optional --seeds seeds: u64
@@ -25,25 +25,25 @@
                 optional --jobs jobs: usize
                 /// Three machines with slow disks that are killed again and again.
                 optional --harsh
-                /// A guard to take away, by its name.
+                /// A guard to disable, by its name.
                 optional --without guard: String
             }
-            /// Plays schedules and prints one number over all that came of them: equal for builds that behave alike.
+            /// Runs schedules and prints a digest of the results: equal for builds that behave alike.
             cmd digest {
                 /// How many (200).
                 optional --seeds seeds: u64
                 /// Three machines with slow disks that are killed again and again.
                 optional --harsh
             }
-            /// Plays one schedule again, and shows it.
+            /// Runs one schedule again, and shows it.
             cmd replay {
                 /// Its seed.
                 required seed: u64
-                /// A guard to take away, by its name.
+                /// A guard to disable, by its name.
                 optional --without guard: String
                 /// It is one of `play --harsh`.
                 optional --harsh
-                /// Do not cut it down.
+                /// Do not shrink it.
                 optional --whole
             }
         }
--- a/crates/testing/simulation/src/network.rs
+++ b/crates/testing/simulation/src/network.rs
@@ -1,24 +1,24 @@
-//! The simulated network: delay, order, partitions of one way or both, loss, slow and thin links.
+//! The simulated network: delay, order, partitions in one or both directions, loss, slow and narrow links.
 
 use crate::rng::Rng;
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Messages that a cut holds up, at most.
+/// Upper bound on the messages that a partition holds back.
 const MAX_DELAYED_MESSAGES: usize = 2_000;
 
-/// What becomes of a message.
+/// The fate of a message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It arrives then.
+    /// It arrives at that time.
     Arrives(Micros),
-    /// It never arrives, and nobody is told.
+    /// It is lost silently.
     Lost,
-    /// It arrives when the cut has ended.
+    /// It arrives when the partition has ended.
     Held,
 }
 
-/// One way from one end to another.
+/// One direction between two ends.
 #[derive(Debug, Clone, Default)]
 struct Link {
     delay: Micros,
@@ -40,7 +40,7 @@
 }
 
 impl<M> Network<M> {
-    /// A network whose delays are drawn: most links are short, some cross regions.
+    /// A network with random delays: most links are short, some cross regions.
     pub fn new(ends: usize, rng: &mut Rng) -> Self {
         let mut links = BTreeMap::new();
         let regions: Vec<u64> = (0..ends).map(|_| rng.below(3)).collect();
@@ -59,7 +59,7 @@
         self.links.entry((a, b)).or_default()
     }
 
-    /// A message of so many bytes sets out.
+    /// Sends a message of so many bytes.
     pub fn pass(&mut self, t: Micros, (a, b): (usize, usize), bytes: u64, rng: &mut Rng) -> Fate {
         let lost = rng.with_permille(self.loss);
         let way = self.way(a, b);
@@ -76,24 +76,24 @@
         Fate::Arrives(way.last)
     }
 
-    /// Whether a way is cut.
+    /// Whether a direction is cut.
     pub fn is_partitioned(&mut self, a: usize, b: usize) -> bool {
         self.way(a, b).partitions > 0
     }
 
-    /// Keeps a message until its way is whole again.
+    /// Holds a message back until the partition has ended.
     pub fn hold(&mut self, (a, b): (usize, usize), message: M) {
         if self.held.len() < MAX_DELAYED_MESSAGES {
             self.held.push((a, b, message));
         }
     }
 
-    /// Cuts a way once more.
+    /// Adds a cut to a direction.
     pub fn partition(&mut self, a: usize, b: usize) {
         self.way(a, b).partitions += 1;
     }
 
-    /// Takes one cut back, and returns the messages that may set out again.
+    /// Removes a cut, and returns the messages that are released.
     pub fn join(&mut self, a: usize, b: usize) -> Vec<(usize, usize, M)> {
         let way = self.way(a, b);
         way.partitions = way.partitions.saturating_sub(1);
@@ -106,7 +106,7 @@
         free
     }
 
-    /// Slows a way by so much, and bounds it to so many bytes a millisecond (0: no bound).
+    /// Adds delay to a direction, and limits it to so many bytes a millisecond (0: no limit).
     pub fn slow(&mut self, a: usize, b: usize, slow: Micros, thin: u64) {
         let way = self.way(a, b);
         (way.slow, way.thin) = (slow, thin);
--- a/crates/testing/simulation/src/progress.rs
+++ b/crates/testing/simulation/src/progress.rs
@@ -1,4 +1,4 @@
-//! What should have come about: replicas catch up, voters are replaced, requests are answered, everything is served at the end.
+//! Liveness: replicas catch up, voters are replaced, requests are answered, everything is served at the end.
 
 use crate::cluster::Cluster;
 use crate::event::{Actor, SimEvent};
@@ -9,17 +9,17 @@
 use limeway_membership::SHARDS;
 use limeway_service_registry::Phase;
 
-/// A machine that nothing ails is in has_quorum and up to date after so long.
+/// A machine without faults has quorum contact and is up to date after this.
 const CATCH_UP_TIMEOUT: Micros = 3 * SECOND;
-/// The voter of a lost disk has passed on by then.
+/// The voter of a lost disk is replaced within this.
 const VOTER_REPLACEMENT_TIMEOUT: Micros = 4 * SECOND;
-/// An update has a clear answer within it while nothing ails anyone.
+/// An update has a final response within this while there are no faults.
 const ANSWER_TIMEOUT: Micros = 2 * SECOND;
-/// After the last fault all machines are read from then.
+/// When the final reads begin, after the last fault.
 const READ_BACK_AFTER: Micros = 10 * SECOND;
 
 impl Cluster {
-    /// How each machine stands, in words.
+    /// The status of each machine, as text.
     pub fn account(&self) -> Vec<String> {
         let line = |(at, m): (usize, &Machine)| {
             let standing =
@@ -46,13 +46,13 @@
         !voters.is_empty() && voters.iter().filter(fine).count() > voters.len() / 2
     }
 
-    /// Nothing has ailed anyone for so long.
+    /// Whether there have been no faults for so long.
     fn all_healthy_for(&self, long: Micros) -> bool {
         let fine = |m: &Machine| !m.exists || m.is_healthy_for(self.t, long);
         self.t > long && self.machines.iter().all(fine)
     }
 
-    /// What should have come about by now.
+    /// Checks what should have happened by now.
     pub(crate) fn check(&mut self) {
         let (t, disabled) = (self.t, self.disabled);
         if disabled == DisabledGuard::None {
@@ -79,7 +79,7 @@
                 else {
                     continue;
                 };
-                // One that has just come has its time, too.
+                // A new machine gets time, too.
                 let young = process.replica.status(t + machine.offset).slot == 0;
                 let (has_quorum, slot) =
                     (process.replica.has_quorum(t + machine.offset), process.replica.state().slot);
@@ -104,7 +104,7 @@
                 return self.invariants.fail(broken);
             }
         }
-        // Where all disks are slow nothing is promised of times.
+        // Where all disks are slow there are no bounds on times.
         if self.schedule.disks == 1 && self.all_healthy_for(CATCH_UP_TIMEOUT + ANSWER_TIMEOUT) {
             let late = self.workload.pending_requests.values().find(|f| t > f.begun + ANSWER_TIMEOUT);
             if let Some(pending) = late {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Everything is served again, and nothing that was acknowledged is lost.
+    /// At the end: everything is served, and nothing that was acknowledged is lost.
     pub(crate) fn at_end(&mut self) -> Option<String> {
         let newest = self.invariants.states.values().next_back().cloned().unwrap_or_default();
         if let Some(lost) = self.invariants.done.iter().find(|o| !newest.has_applied(o)) {
--- a/crates/testing/simulation/src/rng.rs
+++ b/crates/testing/simulation/src/rng.rs
@@ -1,11 +1,11 @@
-//! Rng from a seed: SplitMix64.
+//! Random numbers from a seed: SplitMix64.
 
-/// Numbers drawn by rng, the same for the same seed.
+/// A generator: the same numbers for the same seed.
 #[derive(Debug, Clone)]
 pub struct Rng(pub u64);
 
 impl Rng {
-    /// Any number.
+    /// A random number.
     pub fn draw(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.0;
@@ -29,7 +29,7 @@
         self.below(1_000) < permille
     }
 
-    /// One of these.
+    /// A random one of these.
     pub fn pick<'a, T>(&mut self, all: &'a [T]) -> Option<&'a T> {
         all.get(self.below(all.len() as u64) as usize)
     }
--- a/crates/testing/simulation/src/runner.rs
+++ b/crates/testing/simulation/src/runner.rs
@@ -1,33 +1,33 @@
-//! Plays seeds, side by side, and partitions failing schedules down.
+//! Runs seeds in parallel, and shrinks failing schedules.
 
 use crate::schedule::{Schedule, TimedFault};
 use crate::{Cluster, DisabledGuard};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Plays of one shrink, at most.
+/// Upper bound on the runs of one shrink.
 const MAX_SHRINK_RUNS: usize = 300;
 
-/// What came of some seeds.
+/// The results of some seeds.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Failing seeds, in their order, and what was broken.
+    /// Failing seeds, in order, and their violations.
     pub broken: Vec<(u64, String)>,
-    /// Seeds played.
+    /// Seeds run.
     pub seeds: u64,
-    /// Events over all.
+    /// Events in all of them.
     pub event_count: u64,
-    /// Orders told done, refused, and reads.
+    /// Updates answered as done, updates rejected, and reads.
     pub tally: [usize; 3],
 }
 
-/// Plays one schedule: what was broken, if anything.
+/// Runs one schedule: its violation, if any.
 pub fn once(schedule: Schedule, disabled: DisabledGuard) -> (Option<String>, Cluster) {
     let mut cluster = Cluster::new(schedule, disabled);
     (cluster.play(), cluster)
 }
 
-/// Plays the schedules that are drawn from these seeds with so many threads, until so many fail.
+/// Runs the schedules of these seeds on so many threads, until so many fail.
 pub fn play(
     seeds: std::ops::Range<u64>,
     draw: fn(u64) -> Schedule,
@@ -76,12 +76,12 @@
     })
 }
 
-/// What is broken, without its figures.
+/// The kind of a violation, without its figures.
 fn kind(broken: &str) -> String {
     broken.chars().filter(|c| c.is_alphabetic()).take(60).collect()
 }
 
-/// The smallest schedule found that still fails in the same way: faults are taken out one by one.
+/// The smallest schedule found that still fails in the same way: faults are removed one by one.
 pub fn shrink(schedule: &Schedule, disabled: DisabledGuard) -> Schedule {
     let fails = |schedule: Schedule| once(schedule, disabled).0.map(|b| kind(&b));
     let first = fails(schedule.clone());
--- a/crates/testing/simulation/src/schedule.rs
+++ b/crates/testing/simulation/src/schedule.rs
@@ -3,48 +3,48 @@
 use crate::rng::Rng;
 use crate::{Micros, CATCH_UP, SECOND};
 
-/// A trouble. Machines are numbered from 0; each lasts for `long` and then ends.
+/// A fault. Machines are numbered from 0; each fault lasts for `long`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is killed and comes back. `wipe`: with an empty disk. `power`: nothing tells its peers.
+    /// The process is killed and restarted. `wipe`: with an empty disk. `power`: its peers get no reset.
     Down {
-        /// Actor.
+        /// The machine.
         who: usize,
         /// Its disk is lost.
         wipe: bool,
-        /// The machine is silent, where else its ports would refuse.
+        /// The machine is silent; else its ports refuse connections.
         power: bool,
     },
-    /// All processes are killed at one moment; disks stay.
+    /// All processes are killed at once; disks stay.
     AllDown,
-    /// The process is told to end, and starts again.
+    /// The process gets SIGTERM and is restarted.
     Restart(usize),
     /// A machine is cut off from these others.
     Cut {
-        /// Actor.
+        /// The machine.
         who: usize,
-        /// From whom.
+        /// The other machines.
         peers: Vec<usize>,
-        /// What it says does not arrive.
+        /// Whether its messages are lost.
         out: bool,
-        /// What is said to it does not arrive.
+        /// Whether messages to it are lost.
         into: bool,
     },
-    /// The process stands still; clocks go on.
+    /// The process is stalled; clocks go on.
     Freeze(usize),
-    /// All links of a machine are slow and thin.
+    /// All links of a machine are slow and narrow.
     Slow(usize),
     /// All connections between two machines are reset.
     Reset(usize, usize),
     /// The disk refuses writes.
     DiskFull(usize),
-    /// The disk does nothing.
+    /// The disk is stalled.
     DiskHangs(usize),
     /// The disk is slow.
     DiskSlow(usize),
-    /// All links lose messages; nothing is promised but what was acknowledged.
+    /// All links lose messages; only safety is checked.
     Storm,
-    /// A new machine comes, another is told to end and is gone for good.
+    /// A new machine joins, another one gets SIGTERM and leaves for good.
     Replace(usize),
 }
 
@@ -55,31 +55,31 @@
     pub at: Micros,
     /// How long it lasts.
     pub long: Micros,
-    /// What.
+    /// The fault.
     pub fault: Fault,
 }
 
 /// A deployment and its faults.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
-    /// All else is drawn from it.
+    /// Determines everything else.
     pub seed: u64,
     /// Core machines at the start.
     pub machines: usize,
-    /// Core machines that come later, without a voter at first.
+    /// Core machines that join later, not as voters at first.
     pub spares: usize,
     /// Machines that may be lost at once.
     pub losses: usize,
-    /// In the order of their times.
+    /// The faults, in order of time.
     pub faults: Vec<TimedFault>,
     /// All faults have ended by then.
     pub heal: Micros,
-    /// Writes take so many times as long.
+    /// Factor on the duration of writes.
     pub disks: Micros,
 }
 
 impl Fault {
-    /// Actor is lost by it; nobody named means all.
+    /// The machines that it makes lost; none named means all.
     pub fn lost(&self) -> Option<Vec<usize>> {
         match self {
             Fault::AllDown | Fault::Storm => None,
@@ -98,14 +98,14 @@
 }
 
 impl Schedule {
-    /// Draws a deployment and its faults.
+    /// Draws a deployment and its faults from a seed.
     pub fn draw(seed: u64) -> Self {
         let mut rng = Rng(seed ^ 0x005e_ed0f_5c8e_d01e);
         let (machines, losses) = [(3, 1), (3, 1), (3, 1), (4, 1), (5, 2)][rng.below(5) as usize];
         let spares = [0, 0, 1, 2][rng.below(4) as usize];
         let heal = rng.between(15, 35) * SECOND;
         let mut schedule = Schedule { seed, machines, spares, losses, faults: Vec::new(), heal, disks: 1 };
-        // Until when each machine counts as lost; those that are gone for good are no more.
+        // Until when each machine counts as lost; those that left for good are excluded.
         let mut lost = vec![0; machines];
         let mut replaced = vec![false; machines];
         let mut replacements = 0;
--- a/crates/testing/simulation/src/workload.rs
+++ b/crates/testing/simulation/src/workload.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for those whom replicas serve: operators, limiters, servers. They keep to the protocol and decide nothing.
+//! What the clients of the control plane do: operators, gateways, servers. They keep to the protocol.
 
 use crate::clients::{OperatorRequest, PendingRequest};
 use crate::cluster::{node, Cluster};
@@ -13,21 +13,21 @@
 use limeway_service_registry::{Phase, ServerReport};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Orders under way, at most, over all operators.
+/// Upper bound on the requests in flight of all operators.
 const MAX_PENDING_REQUESTS: usize = 8;
-/// An operator attempts another machine after so long without an answer.
+/// An operator retries at another machine after this.
 const REQUEST_TIMEOUT: Micros = SECOND;
-/// A limiter's poll is held for so long.
+/// Long-poll time-out of gateways.
 const LONG_POLL_WAIT: Micros = 600_000;
-/// A limiter passes over a machine that failed for so long.
+/// How long a gateway skips a replica that failed.
 const BACKOFF: Micros = 1_500_000;
-/// No new updates come so long after the last fault.
+/// New updates are sent until this long after the last fault.
 const NO_NEW_REQUESTS_AFTER: Micros = 8 * SECOND;
-/// Evacuations are sent again for so long.
+/// How long evacuation calls are retried.
 const EVACUATION_RETRY_TIME: Micros = 2 * SECOND;
 
 impl Cluster {
-    /// A machine that callers know of; now and then the list is old.
+    /// A machine that clients know of; now and then their list is old.
     fn any(&mut self) -> usize {
         let live: Vec<usize> = (0..self.machines.len()).filter(|m| self.machines[*m].exists).collect();
         self.rng.pick(&live).copied().unwrap_or(0)
@@ -79,7 +79,7 @@
         }
     }
 
-    /// An operator sends something new.
+    /// An operator sends a new request.
     fn new_request(&mut self, operator: usize) {
         if self.t > self.schedule.heal + NO_NEW_REQUESTS_AFTER {
             return;
@@ -117,7 +117,7 @@
         self.send_request(number);
     }
 
-    /// Sends, or sends again unchanged to another machine.
+    /// Sends a request, or retries it unchanged at another machine.
     fn send_request(&mut self, number: u64) {
         let to = self.any();
         let Some(pending) = self.workload.pending_requests.get_mut(&number) else { return };
@@ -162,7 +162,7 @@
             Some(ApiResponse::Document(text)) => {
                 *known = (*known).max(crate::invariants::version(&text).unwrap_or(0));
             }
-            // Someone else was first, or it is wrong: what is in place is read before the next.
+            // Another update was first, or it is invalid: the version in place is read before the next one.
             Some(ApiResponse::VersionConflict | ApiResponse::Invalid(_)) => {
                 let operator = pending.operator;
                 let (request, begun) = (OperatorRequest::Read, self.t);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// A limiter polls the first replica of its order that has not failed.
+    /// A gateway polls the first replica of its order that has not failed.
     fn poll(&mut self, at: usize) {
         let (t, me) = (self.t, self.member_heartbeat(at));
         let limiter = &mut self.workload.limiters[at];
@@ -223,7 +223,7 @@
         self.post((end, to), 200, SimEvent::Call(to, Origin::Limiter(at, number), call));
     }
 
-    /// Tells every new holder of a shard what is held of it: nothing.
+    /// Reports to each new holder of a shard that no blocks are leased.
     fn ask_quota(&mut self, at: usize) {
         let me = self.member_heartbeat(at).node;
         for group in 0..SHARDS {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// A limiter's poll is answered.
+    /// A gateway's poll is answered.
     pub(crate) fn poll_answered(&mut self, at: usize, number: u64, reply: Option<Reply>) {
         let (t, disabled) = (self.t, self.disabled);
         let limiter = &mut self.workload.limiters[at];
@@ -306,7 +306,7 @@
         self.send_ask(to, Actor::Server(at), ApiRequest::Heartbeat(report));
     }
 
-    /// A server says that it has ended, until that is acknowledged.
+    /// A server deregisters, until that is acknowledged.
     fn leave(&mut self, at: usize) {
         let server = &mut self.workload.servers[at];
         server.sent += 1;
--- a/crates/testing/simulation/tests/schedules.rs
+++ b/crates/testing/simulation/tests/schedules.rs
@@ -38,7 +38,7 @@
     assert!(!outcome.broken.is_empty(), "{disabled:?}");
 }
 
-/// Whichever machine comes back with an empty disk is given a voter again, the one that would propose it too.
+/// Whichever machine comes back with an empty disk becomes a voter again, also the one that would propose it.
 #[rstest]
 fn a_lost_disk_is_replaced_whoever_lost_it(#[values(0, 1, 2)] who: usize) {
     let fault = Fault::Down { who, wipe: true, power: true };
