--- a/crates/balancer/src/proxy/attempts.rs
+++ b/crates/balancer/src/proxy/attempts.rs
@@ -97,14 +97,16 @@
             let Some(server) = self.next_server(&request_attempts, capacity_deadline).await else { break };
             self.tried.push(server.id.clone());
             let sent = now();
-            let Some((outcome, reply)) = self.attempt(&request_attempts, &server).await else { continue };
-            match (request_attempts.record(outcome), reply) {
+            let Some((attempt_result, reply)) = self.attempt(&request_attempts, &server).await else {
+                continue;
+            };
+            match (request_attempts.record(attempt_result), reply) {
                 (NextStep::Forward, Some(reply)) => {
                     // If it took more than one attempt, the other time is not ours alone.
                     server_time.set(if self.tried.len() == 1 { now() - sent } else { 0 });
                     return Ok(reply);
                 }
-                (_, Some(reply)) if outcome == AttemptResult::Failed => failure = Some(reply),
+                (_, Some(reply)) if attempt_result == AttemptResult::Failed => failure = Some(reply),
                 _ => {}
             }
         }
@@ -192,9 +194,9 @@
                 Err(_) => {}
             }
         };
-        let (outcome, reply, outcome) = assess(result, now() - started, sent.get());
+        let (attempt_result, reply, outcome) = assess(result, now() - started, sent.get());
         report.report(outcome);
-        Some((outcome, reply))
+        Some((attempt_result, reply))
     }
 
     /// How long a server may take before the request may leave it.
@@ -214,14 +216,14 @@
 ) -> (AttemptResult, Option<Reply>, Outcome) {
     match result {
         Some(UpstreamResult::Response(reply)) => {
-            let outcome = response_head(&reply).result();
-            let outcome = match outcome {
+            let attempt_result = response_head(&reply).result();
+            let outcome = match attempt_result {
                 AttemptResult::Final | AttemptResult::Failed => Outcome::Answered(took),
                 AttemptResult::NotExecuted => Outcome::Full,
                 AttemptResult::Moved => Outcome::Moved,
                 AttemptResult::NotSent | AttemptResult::Unknown => Outcome::Broken,
             };
-            (outcome, Some(reply), outcome)
+            (attempt_result, Some(reply), outcome)
         }
         Some(UpstreamResult::NotSent) => (AttemptResult::NotSent, None, Outcome::Broken),
         Some(UpstreamResult::Broken) => (AttemptResult::Unknown, None, Outcome::Broken),
