--- a/crates/control/distribution/tests/freshness.rs
+++ b/crates/control/distribution/tests/freshness.rs
@@ -43,7 +43,7 @@
 #[rstest]
 #[case::never_confirmed(None)]
 #[case::confirmed_too_long_ago(Some(NOW - MAX_STALENESS - 1))]
-fn an_stale_upstream_is_believed_only_in_what_goes_forward(#[case] confirmed: Option<u64>) {
+fn a_stale_upstream_is_believed_only_in_what_goes_forward(#[case] confirmed: Option<u64>) {
     let (mut limiter, upstream) = (following(), other(confirmed.unwrap_or(0)));
     let asked = poll(&limiter, upstream.incarnation, 1, 0);
     let mut response = upstream.respond(NOW, &asked, 0);
@@ -55,14 +55,14 @@
     assert_eq!((limiter.members().len(), limiter.holders[0]), (3, (1, 11).into()));
     assert!(
         !limiter.registry.servers()["i-2"].unlisted,
-        "an unconfirmed upstream's list says nothing of whom it does not name"
+        "a stale upstream's list says nothing of whom it does not name"
     );
     assert_eq!(limiter.registry.servers()["i-1"].phase, Phase::Draining);
     assert_eq!(limiter.state, upstream.state);
 }
 
 #[rstest]
-fn an_stale_upstream_keeps_its_list_to_itself() {
+fn a_stale_upstream_keeps_its_list_to_itself() {
     let response = other(0).respond(NOW, &poll(&StateCache::relay(9), 0, 0, 0), 0);
     assert!(response.servers.is_empty() && !response.full_registry && response.registry_revision == 0);
 }
