--- a/crates/testing/scenario/src/file.rs
+++ b/crates/testing/scenario/src/file.rs
@@ -1,4 +1,4 @@
-//! The form of the scenario file (TOML). It is checked in [`crate::checks`].
+//! The form of the scenario file (TOML). [`Scenario::parse`] reads and checks it.
 
 use serde::de::{self, Deserializer, SeqAccess, Visitor};
 use serde::{Deserialize, Serialize};
