--- a/crates/balancer/tests/state_writer.rs
+++ b/crates/balancer/tests/state_writer.rs
@@ -1,7 +1,11 @@
 //! The writing thread before a disk that hangs or refuses: the caller goes on, and nothing counts that may be missing.
 
+#[path = "../../control/storage/tests/hooked/mod.rs"]
+mod hooked;
+
+use hooked::{Hook, Hooked};
 use limeway_balancer::state_writer::StateWriter;
-use limeway_storage::{Acceptor, Directory, FileName, FileSystem, LogRecord, StateStore, StorageBackend};
+use limeway_storage::{Acceptor, Directory, LogRecord, StateStore};
 use std::future::Future;
 use std::io;
 use std::path::PathBuf;
@@ -40,53 +44,9 @@
     }
 }
 
-struct Gated(Directory, Gate);
-
-#[derive(Debug)]
-struct Handle(Box<dyn StorageBackend>, Gate);
-
-impl FileSystem for Gated {
-    fn exists(&self, name: FileName) -> io::Result<bool> {
-        self.0.exists(name)
-    }
-
-    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
-        Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
-    }
-
-    fn quarantine(&self, name: FileName) -> io::Result<()> {
-        self.0.quarantine(name)
-    }
-
-    fn remove(&self, name: FileName) -> io::Result<()> {
-        self.0.remove(name)
-    }
-
-    fn sync_directory(&self) -> io::Result<()> {
-        self.0.sync_directory()
-    }
-}
-
-impl StorageBackend for Handle {
-    fn len(&self) -> io::Result<u64> {
-        self.0.len()
-    }
-
-    fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        self.0.read(offset, len)
-    }
-
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        self.0.set_len(len)
-    }
-
-    fn sync_data(&self, eventual: bool) -> io::Result<()> {
-        self.1.pass()?;
-        self.0.sync_data(eventual)
-    }
-
-    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.0.write(offset, data)
+impl Hook for Gate {
+    fn before_sync(&self) -> io::Result<()> {
+        self.pass()
     }
 }
 
@@ -94,7 +54,7 @@
     let folder = std::env::temp_dir().join(format!("limeway-disk-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let gate = Gate(Arc::new((Mutex::new(Mode::Goes), Condvar::new())));
-    let (store, _) = StateStore::open(Gated(Directory::new(&folder), gate.clone()), 7, 42).expect("made");
+    let (store, _) = StateStore::open(Hooked(Directory::new(&folder), gate.clone()), 7, 42).expect("made");
     (folder, gate, StateWriter::start(store).expect("starts"))
 }
 
--- a/crates/control/storage/examples/record_cost.rs
+++ b/crates/control/storage/examples/record_cost.rs
@@ -2,6 +2,10 @@
 //!
 //! `cargo run --release -p limeway-storage --example record_cost [FOLDER]`
 
+#[path = "../tests/hooked/mod.rs"]
+mod hooked;
+
+use hooked::{Hook, Hooked};
 use limeway_storage::{Acceptor, Directory, FileName, FileSystem, LogRecord, StateStore};
 use redb::{Database, StorageBackend, TableDefinition};
 use std::io;
@@ -25,56 +29,30 @@
     most: Arc<AtomicU64>,
 }
 
-struct Counted(Directory, Count);
-
-#[derive(Debug)]
-struct Handle(Box<dyn StorageBackend>, Count);
-
-impl FileSystem for Counted {
-    fn exists(&self, name: FileName) -> io::Result<bool> {
-        self.0.exists(name)
-    }
-    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
-        Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
-    }
-    fn quarantine(&self, name: FileName) -> io::Result<()> {
-        self.0.quarantine(name)
+impl Hook for Count {
+    fn before_set_length(&self, length: u64) -> io::Result<()> {
+        self.most.fetch_max(length, Ordering::Relaxed);
+        Ok(())
     }
-    fn remove(&self, name: FileName) -> io::Result<()> {
-        self.0.remove(name)
-    }
-    fn sync_directory(&self) -> io::Result<()> {
-        self.0.sync_directory()
-    }
-}
 
-impl StorageBackend for Handle {
-    fn len(&self) -> io::Result<u64> {
-        self.0.len()
+    fn before_sync(&self) -> io::Result<()> {
+        self.syncs.fetch_add(1, Ordering::Relaxed);
+        Ok(())
     }
-    fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        self.0.read(offset, len)
-    }
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        self.1.most.fetch_max(len, Ordering::Relaxed);
-        self.0.set_len(len)
-    }
-    fn sync_data(&self, eventual: bool) -> io::Result<()> {
-        self.1.syncs.fetch_add(1, Ordering::Relaxed);
-        self.0.sync_data(eventual)
-    }
-    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.1.bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
-        self.0.write(offset, data)
+
+    fn before_write(&self, bytes: usize) -> io::Result<()> {
+        self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+        Ok(())
     }
 }
 
+type Counted = Hooked<Count>;
 type Failed = Box<dyn std::error::Error>;
 
 fn folder(name: &str) -> (PathBuf, Counted) {
     let above = std::env::args().nth(1).map_or_else(std::env::temp_dir, PathBuf::from);
     let path = above.join(format!("limeway-record-cost-{}-{name}", std::process::id()));
-    let counted = Counted(Directory::new(&path), Count::default());
+    let counted = Hooked(Directory::new(&path), Count::default());
     (path, counted)
 }
 
--- a/crates/control/storage/tests/log/process.rs
+++ b/crates/control/storage/tests/log/process.rs
@@ -1,8 +1,8 @@
 //! A real process on a real folder is killed (SIGKILL) between any two of its writes.
 
+use crate::hooked::{Hook, Hooked};
 use crate::script::{self, Picture, NODE};
-use limeway_storage::{Directory, FileName, FileSystem, StateStore};
-use redb::StorageBackend;
+use limeway_storage::{Directory, StateStore};
 use std::io::{self, BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 
 /// Tells the child where its folder is, and at which step it waits for its end.
-const FOLDER: &str = "LIMEWAY_VAULT_TEST_FOLDER";
-const STEP: &str = "LIMEWAY_VAULT_TEST_STEP";
+const FOLDER: &str = "LIMEWAY_STORAGE_TEST_FOLDER";
+const STEP: &str = "LIMEWAY_STORAGE_TEST_STEP";
 /// Steps of the script, at most.
 const MAX_STEPS: usize = 1_000;
 
@@ -30,59 +30,25 @@
     }
 }
 
-struct Fused(Directory, Fuse);
-
-#[derive(Debug)]
-struct Handle(Box<dyn StorageBackend>, Fuse);
-
-impl FileSystem for Fused {
-    fn exists(&self, name: FileName) -> io::Result<bool> {
-        self.0.exists(name)
-    }
-
-    fn open(&self, name: FileName) -> io::Result<Box<dyn StorageBackend>> {
-        self.1.step();
-        Ok(Box::new(Handle(self.0.open(name)?, self.1.clone())))
-    }
-
-    fn quarantine(&self, name: FileName) -> io::Result<()> {
-        self.1.step();
-        self.0.quarantine(name)
-    }
-
-    fn remove(&self, name: FileName) -> io::Result<()> {
-        self.1.step();
-        self.0.remove(name)
-    }
-
-    fn sync_directory(&self) -> io::Result<()> {
-        self.1.step();
-        self.0.sync_directory()
-    }
-}
-
-impl StorageBackend for Handle {
-    fn len(&self) -> io::Result<u64> {
-        self.0.len()
-    }
-
-    fn read(&self, offset: u64, len: usize) -> io::Result<Vec<u8>> {
-        self.0.read(offset, len)
+impl Hook for Fuse {
+    fn before_directory_call(&self) -> io::Result<()> {
+        self.step();
+        Ok(())
     }
 
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        self.1.step();
-        self.0.set_len(len)
+    fn before_set_length(&self, _length: u64) -> io::Result<()> {
+        self.step();
+        Ok(())
     }
 
-    fn sync_data(&self, eventual: bool) -> io::Result<()> {
-        self.1.step();
-        self.0.sync_data(eventual)
+    fn before_sync(&self) -> io::Result<()> {
+        self.step();
+        Ok(())
     }
 
-    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.1.step();
-        self.0.write(offset, data)
+    fn before_write(&self, _bytes: usize) -> io::Result<()> {
+        self.step();
+        Ok(())
     }
 }
 
@@ -91,7 +57,7 @@
 fn child() {
     let (Ok(folder), Ok(step)) = (std::env::var(FOLDER), std::env::var(STEP)) else { return };
     let fuse = Fuse(Arc::new(AtomicUsize::new(step.parse().expect("a number"))));
-    let medium = Fused(Directory::new(&PathBuf::from(folder)), fuse);
+    let medium = Hooked(Directory::new(&PathBuf::from(folder)), fuse);
     let (mut store, found) = StateStore::open(medium, NODE, 42).expect("made");
     println!();
     script::run(&mut store, found.acceptor.disk, |group| println!("acknowledged {group}"), || false);
